--- a/cli/src/main/java/org/fulmargap/cli/AdminAddress.java
+++ b/cli/src/main/java/org/fulmargap/cli/AdminAddress.java
@@ -11,10 +11,11 @@
 record AdminAddress(String host, int port) {
 
 	/**
-	 * Parses the text form.
+	 * Parses an address.
 	 * @param text {@code IP:port}, with an IPv6 address in brackets
 	 * @return the address
-	 * @throws IllegalArgumentException if the text has another form
+	 * @throws IllegalArgumentException if the text is not of this form or the port is not
+	 * between 1 and 65535
 	 */
 	static AdminAddress parse(String text) {
 		int colon = text.lastIndexOf(':');
@@ -28,9 +29,9 @@
 	}
 
 	/**
-	 * Starts a URL of this address.
-	 * @param segments the segments of the path, not encoded
-	 * @return the builder of the URL
+	 * Returns a URL builder for this address and a path.
+	 * @param segments the path segments, not percent-encoded
+	 * @return the URL builder
 	 */
 	HttpUrl.Builder url(String... segments) {
 		HttpUrl.Builder url = new HttpUrl.Builder().scheme("http").host(this.host).port(this.port);
--- a/cli/src/main/java/org/fulmargap/cli/AdminClient.java
+++ b/cli/src/main/java/org/fulmargap/cli/AdminClient.java
@@ -21,7 +21,7 @@
 import okhttp3.Response;
 
 /**
- * Calls the operator interface of entry VMs.
+ * Client of the operator interface of entry VMs.
  */
 final class AdminClient implements AutoCloseable {
 
@@ -31,7 +31,7 @@
 
 	private static final long CONNECT_TIMEOUT_MS = 2_000;
 
-	private final List<AdminAddress> admins;
+	private final List<AdminAddress> addresses;
 
 	private final ConnectionPool pool = new ConnectionPool(0, 1, TimeUnit.SECONDS);
 
@@ -39,8 +39,8 @@
 
 	private final OkHttpClient client;
 
-	AdminClient(List<AdminAddress> admins, long timeoutMs) {
-		this.admins = List.copyOf(admins);
+	AdminClient(List<AdminAddress> addresses, long timeoutMs) {
+		this.addresses = List.copyOf(addresses);
 		this.client = new OkHttpClient.Builder().connectionPool(this.pool)
 			.dispatcher(this.dispatcher)
 			.connectTimeout(CONNECT_TIMEOUT_MS, TimeUnit.MILLISECONDS)
@@ -52,21 +52,21 @@
 			.build();
 	}
 
-	List<AdminAddress> admins() {
-		return this.admins;
+	List<AdminAddress> addresses() {
+		return this.addresses;
 	}
 
 	/**
-	 * Reads from the first address that answers.
-	 * @param segments the segments of the path
-	 * @return the answer
-	 * @throws CommandException if no address answers
+	 * Sends a GET request to each address in turn until one responds.
+	 * @param segments the path segments
+	 * @return the first response, whatever its status
+	 * @throws CommandException if no address responds
 	 */
-	AdminReply read(String... segments) throws CommandException {
+	AdminResponse read(String... segments) throws CommandException {
 		CommandException last = null;
-		for (AdminAddress admin : this.admins) {
+		for (AdminAddress address : this.addresses) {
 			try {
-				return get(admin.url(segments).build(), admin);
+				return get(address.url(segments).build(), address);
 			}
 			catch (CommandException ex) {
 				last = ex;
@@ -76,53 +76,56 @@
 	}
 
 	/**
-	 * Reads from one address.
+	 * Sends a GET request to one address.
 	 * @param url the URL
-	 * @param admin the address
-	 * @return the answer
-	 * @throws CommandException if the address does not answer
+	 * @param address the address, for the response and error messages
+	 * @return the response, whatever its status
+	 * @throws CommandException if the address does not respond
 	 */
-	AdminReply get(HttpUrl url, AdminAddress admin) throws CommandException {
+	AdminResponse get(HttpUrl url, AdminAddress address) throws CommandException {
 		try {
-			return call(new Request.Builder().url(url).build(), admin, new AtomicBoolean());
+			return call(new Request.Builder().url(url).build(), address, new AtomicBoolean());
 		}
 		catch (IOException ex) {
-			throw new CommandException(ExitCode.NOT_REACHABLE, admin + " does not answer: " + text(ex), ex);
+			throw new CommandException(ExitCode.NOT_REACHABLE, address + " did not respond: " + firstLine(ex), ex);
 		}
 	}
 
 	/**
-	 * Sends an order to the first address that can be reached. Once a request may have
-	 * been sent, no other address is tried, because the order may have taken effect.
+	 * Sends a state-changing request to the first address that can be reached. Once the
+	 * request may have been sent, no other address is tried, because the change may have
+	 * taken effect.
 	 * @param method the HTTP method
-	 * @param body the body
-	 * @param segments the segments of the path
-	 * @return the answer
-	 * @throws CommandException if no address can be reached or the answer is lost
+	 * @param body the request body
+	 * @param segments the path segments
+	 * @return the response, whatever its status
+	 * @throws CommandException if no address can be reached, or if a request may have
+	 * been sent and no response was received
 	 */
-	AdminReply send(String method, JsonNode body, String... segments) throws CommandException {
+	AdminResponse send(String method, JsonNode body, String... segments) throws CommandException {
 		CommandException last = null;
-		for (AdminAddress admin : this.admins) {
+		for (AdminAddress address : this.addresses) {
 			AtomicBoolean sent = new AtomicBoolean();
 			try {
-				Request request = new Request.Builder().url(admin.url(segments).build())
+				Request request = new Request.Builder().url(address.url(segments).build())
 					.method(method, RequestBody.create(body.toString(), JSON))
 					.build();
-				return call(request, admin, sent);
+				return call(request, address, sent);
 			}
 			catch (IOException ex) {
 				if (sent.get()) {
-					throw new CommandException(ExitCode.OUTCOME_UNKNOWN,
-							"outcome unknown: the answer of " + admin + " was lost: " + text(ex), ex);
+					throw new CommandException(ExitCode.OUTCOME_UNKNOWN, "outcome unknown: request sent to " + address
+							+ " but no response received: " + firstLine(ex), ex);
 				}
-				last = new CommandException(ExitCode.NOT_REACHABLE, admin + " cannot be reached: " + text(ex), ex);
+				last = new CommandException(ExitCode.NOT_REACHABLE, address + " cannot be reached: " + firstLine(ex),
+						ex);
 			}
 		}
 		throw notReachable(last);
 	}
 
-	private AdminReply call(Request request, AdminAddress admin, AtomicBoolean sent) throws IOException {
-		OkHttpClient observed = this.client.newBuilder().eventListener(new EventListener() {
+	private AdminResponse call(Request request, AdminAddress address, AtomicBoolean sent) throws IOException {
+		OkHttpClient monitored = this.client.newBuilder().eventListener(new EventListener() {
 
 			@Override
 			public void requestHeadersStart(Call call) {
@@ -130,14 +133,15 @@
 			}
 
 		}).build();
-		try (Response response = observed.newCall(request).execute()) {
-			return new AdminReply(admin, response.code(), parse(response.body().string()));
+		try (Response response = monitored.newCall(request).execute()) {
+			return new AdminResponse(address, response.code(), parse(response.body().string()));
 		}
 	}
 
 	private CommandException notReachable(CommandException last) {
-		return (this.admins.size() == 1) ? last : new CommandException(ExitCode.NOT_REACHABLE,
-				"none of " + this.admins.size() + " admin addresses can be reached; last: " + last.getMessage(), last);
+		return (this.addresses.size() == 1) ? last : new CommandException(ExitCode.NOT_REACHABLE,
+				"none of " + this.addresses.size() + " admin addresses responded; last error: " + last.getMessage(),
+				last);
 	}
 
 	private static JsonNode parse(String body) {
@@ -150,7 +154,7 @@
 		}
 	}
 
-	private static String text(IOException ex) {
+	private static String firstLine(IOException ex) {
 		return String.valueOf(ex.getMessage()).lines().findFirst().orElse(ex.getClass().getSimpleName());
 	}
 
--- a/cli/src/main/java/org/fulmargap/cli/AdminCommand.java
+++ b/cli/src/main/java/org/fulmargap/cli/AdminCommand.java
@@ -24,27 +24,27 @@
 
 	@Override
 	public Integer call() throws CommandException {
-		if (this.parent.admins().isEmpty() && needsAdmin()) {
-			throw usage("option --admin IP:port is missing");
+		if (this.parent.adminAddresses().isEmpty() && requiresAdmin()) {
+			throw usageError("option --admin IP:port is missing");
 		}
-		try (AdminClient client = new AdminClient(this.parent.admins(), this.parent.timeoutMs())) {
+		try (AdminClient client = new AdminClient(this.parent.adminAddresses(), this.parent.timeoutMs())) {
 			return run(client).code();
 		}
 	}
 
 	/**
-	 * Carries out the command.
-	 * @param client calls the entry VMs
+	 * Runs the command.
+	 * @param client the client for the given admin addresses
 	 * @return the exit code
 	 * @throws CommandException if the command fails
 	 */
 	abstract ExitCode run(AdminClient client) throws CommandException;
 
 	/**
-	 * Tells whether the command cannot do without an admin address.
-	 * @return {@code true} unless the command has other sources
+	 * Returns whether the command requires an admin address.
+	 * @return {@code false} if the command can run on log files alone
 	 */
-	boolean needsAdmin() {
+	boolean requiresAdmin() {
 		return true;
 	}
 
@@ -52,17 +52,17 @@
 		return this.spec.commandLine().getOut();
 	}
 
-	void warn(String line) {
-		this.spec.commandLine().getErr().println("fulmargapctl: warning: " + line);
+	void warn(String message) {
+		this.spec.commandLine().getErr().println("fulmargapctl: warning: " + message);
 	}
 
-	CommandLine.ParameterException usage(String message) {
+	CommandLine.ParameterException usageError(String message) {
 		return new CommandLine.ParameterException(this.spec.commandLine(), message);
 	}
 
 	/**
-	 * Prints the fields of an object as one line.
-	 * @param node the object
+	 * Prints the fields of a JSON object as one line of key=value pairs.
+	 * @param node the JSON object
 	 */
 	void printLine(JsonNode node) {
 		StringBuilder line = new StringBuilder();
--- a/cli/src/main/java/org/fulmargap/cli/BringBackCommand.java
+++ b/cli/src/main/java/org/fulmargap/cli/BringBackCommand.java
@@ -3,11 +3,11 @@
 import picocli.CommandLine.Command;
 
 /**
- * Brings a failure domain or an endpoint back into service.
+ * Returns a failure domain or an endpoint to service.
  */
 @Command(name = "bring-back",
-		description = { "Brings a failure domain or an endpoint back and prints which entry VMs confirmed.",
-				"Exit code 4 means that the order holds at the entry VMs listed as confirmed, not yet at the others." })
+		description = { "Returns a failure domain or an endpoint to service and prints which entry VMs confirmed.",
+				"Exit code 4 means that the order is known to be in force only at the VMs listed as confirmed." })
 final class BringBackCommand extends OrderCommand {
 
 	@Override
--- a/cli/src/main/java/org/fulmargap/cli/CommandException.java
+++ b/cli/src/main/java/org/fulmargap/cli/CommandException.java
@@ -1,7 +1,7 @@
 package org.fulmargap.cli;
 
 /**
- * Ends a command with one line and an exit code.
+ * Ends a command with an error message of one line and an exit code.
  */
 class CommandException extends Exception {
 
--- a/cli/src/main/java/org/fulmargap/cli/ConfigCommand.java
+++ b/cli/src/main/java/org/fulmargap/cli/ConfigCommand.java
@@ -10,7 +10,7 @@
 
 	@Override
 	ExitCode run(AdminClient client) throws CommandException {
-		out().println(client.read("v1", "config").accepted().toPrettyString());
+		out().println(client.read("v1", "config").successBody().toPrettyString());
 		return ExitCode.DONE;
 	}
 
--- a/cli/src/main/java/org/fulmargap/cli/EvictCommand.java
+++ b/cli/src/main/java/org/fulmargap/cli/EvictCommand.java
@@ -5,9 +5,9 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Removes a member that is gone.
+ * Removes an entry VM that has ended from the membership.
  */
-@Command(name = "evict", description = "Removes a member that is gone, so that patches no longer wait for it.")
+@Command(name = "evict", description = "Removes an entry VM that has ended, so that patches no longer wait for it.")
 final class EvictCommand extends AdminCommand {
 
 	@Parameters(paramLabel = "VM", description = "Name of the entry VM.")
@@ -15,22 +15,23 @@
 
 	@Override
 	ExitCode run(AdminClient client) throws CommandException {
-		// The operator interface confirms the eviction of a name that is no member.
+		// The response to an eviction does not distinguish a name that is not a
+		// member from an eviction that was not recorded.
 		boolean joined = false;
-		for (JsonNode member : client.read("v1", "members").accepted().path("members")) {
+		for (JsonNode member : client.read("v1", "members").successBody().path("members")) {
 			joined |= member.path("vm").asText().equals(this.vm) && member.path("joined").asBoolean(true);
 		}
 		if (!joined) {
 			throw new CommandException(ExitCode.REFUSED, "refused: " + this.vm + " is not a member");
 		}
-		AdminReply reply = client.send("POST", AdminClient.MAPPER.createObjectNode(), "v1", "members", this.vm,
+		AdminResponse response = client.send("POST", AdminClient.MAPPER.createObjectNode(), "v1", "members", this.vm,
 				"evict");
-		JsonNode evicted = reply.body().path("evicted");
+		JsonNode evicted = response.body().path("evicted");
 		if (evicted.isBoolean() && !evicted.asBoolean()) {
 			throw new CommandException(ExitCode.REFUSED,
-					"refused: " + reply.admin() + " did not record the eviction of " + this.vm);
+					"refused: " + response.address() + " did not record the eviction of " + this.vm);
 		}
-		reply.accepted();
+		response.successBody();
 		out().println("evicted vm=" + this.vm);
 		return ExitCode.DONE;
 	}
--- a/cli/src/main/java/org/fulmargap/cli/ExitCode.java
+++ b/cli/src/main/java/org/fulmargap/cli/ExitCode.java
@@ -5,19 +5,19 @@
  */
 enum ExitCode {
 
-	/** The order was carried out, or the answer was printed. */
+	/** The command succeeded. */
 	DONE(0),
 
-	/** The system refused the order. */
+	/** The command was refused, did not find the request or failed unexpectedly. */
 	REFUSED(1),
 
-	/** The command line is not valid. */
+	/** The command line is invalid, or a file that it names cannot be read. */
 	USAGE(2),
 
-	/** No admin address could be reached, and nothing was sent. */
+	/** No admin address responded, and no state-changing request was sent. */
 	NOT_REACHABLE(3),
 
-	/** The order may have taken effect, or not everywhere. */
+	/** The outcome is unknown, or some entry VMs did not confirm the order. */
 	OUTCOME_UNKNOWN(4);
 
 	private final int code;
@@ -27,8 +27,8 @@
 	}
 
 	/**
-	 * Returns the exit code of the process.
-	 * @return a number from 0 to 4
+	 * Returns the exit status of the process.
+	 * @return the exit status, from 0 to 4
 	 */
 	int code() {
 		return this.code;
--- a/cli/src/main/java/org/fulmargap/cli/ExplainCommand.java
+++ b/cli/src/main/java/org/fulmargap/cli/ExplainCommand.java
@@ -19,17 +19,17 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Tells the story of one request from the logs of entry VMs.
+ * Prints the history of one request from the logs of entry VMs.
  */
-@Command(name = "explain", description = "Tells the story of one request from the logs of entry VMs: its end first, "
-		+ "then all lines in the order of time.")
+@Command(name = "explain",
+		description = "Prints the history of one request from the logs of entry VMs: its outcome first, "
+				+ "then all its log lines sorted by time.")
 final class ExplainCommand implements Callable<Integer> {
 
-	@Parameters(index = "0", paramLabel = "ID", description = "Identity of the attempt, as the caller sent it.")
+	@Parameters(index = "0", paramLabel = "ID", description = "Attempt id that the caller sent with the request.")
 	private String requestId;
 
-	@Parameters(index = "1..*", paramLabel = "FILE",
-			description = "Log files of entry VMs; without any, standard input is read.")
+	@Parameters(index = "1..*", paramLabel = "FILE", description = "Log files of entry VMs (default: standard input).")
 	private List<Path> files = new ArrayList<>();
 
 	@Spec
@@ -40,11 +40,11 @@
 		List<Event> events = events();
 		if (events.isEmpty()) {
 			throw new CommandException(ExitCode.REFUSED, "no line of request " + this.requestId + " was found; lines "
-					+ "about requests are the first to be dropped when a VM logs more than it can write");
+					+ "about requests are dropped first when an entry VM logs faster than it can write");
 		}
 		events.sort(Comparator.comparing(Event::at));
 		PrintWriter out = this.spec.commandLine().getOut();
-		out.println(conclusion(events));
+		out.println(outcome(events));
 		events.forEach((event) -> out.println(event.source() + " " + event.line()));
 		out.flush();
 		return ExitCode.DONE.code();
@@ -63,7 +63,7 @@
 			}
 		}
 		catch (IOException ex) {
-			throw new CommandException(ExitCode.USAGE, "a log can't be read: " + ex);
+			throw new CommandException(ExitCode.USAGE, "a log cannot be read: " + ex);
 		}
 		return events;
 	}
@@ -79,34 +79,35 @@
 		}
 	}
 
-	private static String conclusion(List<Event> events) {
-		Event last = events.get(events.size() - 1);
+	private static String outcome(List<Event> events) {
+		Event outcome = events.get(events.size() - 1);
 		for (Event event : events) {
 			if (List.of("answered", "refused", "caller_left").contains(event.name())) {
-				last = event;
+				outcome = event;
 			}
 		}
-		return switch (last.name()) {
-			case "answered" -> "answered with status " + last.field("status") + " after " + last.field("age_ms")
-					+ " ms, " + last.field("runs") + " run(s)";
-			case "refused" -> "refused as " + last.field("reason") + " after " + last.field("age_ms") + " ms, "
-					+ last.field("runs") + " run(s)" + cause(events);
-			case "caller_left" -> "the caller left after " + last.field("age_ms") + " ms" + cause(events);
-			default -> "no end was logged; the last event is " + last.name() + cause(events);
+		return switch (outcome.name()) {
+			case "answered" -> "answered with status " + outcome.field("status") + " after " + outcome.field("age_ms")
+					+ " ms, " + outcome.field("runs") + " run(s)";
+			case "refused" -> "refused as " + outcome.field("reason") + " after " + outcome.field("age_ms") + " ms, "
+					+ outcome.field("runs") + " run(s)" + cause(events);
+			case "caller_left" ->
+				"the caller closed the connection after " + outcome.field("age_ms") + " ms" + cause(events);
+			default -> "no outcome was logged; the last event is " + outcome.name() + cause(events);
 		};
 	}
 
-	// The decision that led to the end is the last one that tells of a failure.
+	// The cause of the outcome is the last logged event that reports a failure.
 	private static String cause(List<Event> events) {
 		String cause = "";
 		for (Event event : events) {
 			cause = switch (event.name()) {
 				case "not_admitted" -> "; cause: its stages would have taken " + event.field("stages_ms")
 						+ " ms, its objective is " + event.field("objective_ms") + " ms";
-				case "piece_expired" ->
-					"; cause: stage " + event.field("stage") + " at service " + event.field("service") + " had "
-							+ event.field("waiting") + " pieces waiting for " + event.field("endpoints") + " endpoints";
-				case "piece_failed" -> "; cause: endpoint " + event.field("endpoint") + " failed a piece of stage "
+				case "piece_expired" -> "; cause: stage " + event.field("stage") + " at service "
+						+ event.field("service") + " had " + event.field("waiting") + " work items waiting for "
+						+ event.field("endpoints") + " endpoints";
+				case "piece_failed" -> "; cause: endpoint " + event.field("endpoint") + " failed a work item of stage "
 						+ event.field("stage") + " (" + event.field("reason") + ")";
 				case "call_failed" -> "; cause: the call to endpoint " + event.field("endpoint") + " failed ("
 						+ event.field("failure") + ") after " + event.field("after_ms") + " ms";
--- a/cli/src/main/java/org/fulmargap/cli/ExplainRequestCommand.java
+++ b/cli/src/main/java/org/fulmargap/cli/ExplainRequestCommand.java
@@ -11,45 +11,45 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Prints where a request went.
+ * Prints the attempts of a request at each stage and its outcome.
  */
 @Command(name = "explain-request",
-		description = "Prints where a request went: one row per attempt with stage, endpoint, duration and result.")
+		description = "Prints the attempts of a request, one row each with stage, endpoint, duration and result.")
 final class ExplainRequestCommand extends AdminCommand {
 
-	private static final String ROW = "%-16s %-20s %7s %12s  %s%n";
+	private static final String ROW_FORMAT = "%-16s %-20s %7s %12s  %s%n";
 
-	@Parameters(paramLabel = "ID", description = "Request id from an answer.")
+	@Parameters(paramLabel = "ID", description = "Request id from a response.")
 	private String requestId;
 
 	@Option(names = "--log-file", paramLabel = "FILE", description = "Log file of an entry VM; may be repeated.")
 	private List<Path> logFiles = new ArrayList<>();
 
 	@Override
-	boolean needsAdmin() {
+	boolean requiresAdmin() {
 		return this.logFiles.isEmpty();
 	}
 
 	@Override
 	ExitCode run(AdminClient client) throws CommandException {
-		List<TimelineLine> lines = new TimelineSources(client, this.logFiles, this::warn).find("request_id",
+		List<TimelineEvent> events = new TimelineSources(client, this.logFiles, this::warn).find("request_id",
 				this.requestId);
-		if (lines.isEmpty()) {
+		if (events.isEmpty()) {
 			throw new CommandException(ExitCode.REFUSED, "no events of request " + this.requestId
-					+ " were found; the entry VM that received it keeps recent events only");
+					+ " were found; the entry VM that received it keeps only recent events");
 		}
-		out().printf(ROW, "STAGE", "ENDPOINT", "ATTEMPT", "DURATION_MS", "RESULT");
-		for (Attempt attempt : attempts(lines).values()) {
-			out().printf(ROW, attempt.stage, attempt.endpoint, attempt.number,
+		out().printf(ROW_FORMAT, "STAGE", "ENDPOINT", "ATTEMPT", "DURATION_MS", "RESULT");
+		for (Attempt attempt : attempts(events).values()) {
+			out().printf(ROW_FORMAT, attempt.stage, attempt.endpoint, attempt.number,
 					(attempt.durationMs >= 0) ? String.valueOf(attempt.durationMs) : "-", attempt.result);
 		}
-		for (TimelineLine line : lines) {
-			switch (line.event()) {
+		for (TimelineEvent event : events) {
+			switch (event.type()) {
 				case "REQUEST_ANSWERED" -> out().println(
-						"answered by " + line.vm() + " after " + line.fields().getOrDefault("total_ms", "?") + " ms");
+						"answered by " + event.vm() + " after " + event.fields().getOrDefault("total_ms", "?") + " ms");
 				case "REQUEST_FAILED" -> out().println(
-						"failed at " + line.vm() + " after " + line.fields().getOrDefault("total_ms", "?") + " ms: "
-								+ line.fields().get("type") + " (" + line.fields().getOrDefault("reason", "") + ")");
+						"failed at " + event.vm() + " after " + event.fields().getOrDefault("total_ms", "?") + " ms: "
+								+ event.fields().get("type") + " (" + event.fields().getOrDefault("reason", "") + ")");
 				default -> {
 				}
 			}
@@ -57,24 +57,24 @@
 		return ExitCode.DONE;
 	}
 
-	private static Map<String, Attempt> attempts(List<TimelineLine> lines) {
+	private static Map<String, Attempt> attempts(List<TimelineEvent> events) {
 		Map<String, Attempt> attempts = new LinkedHashMap<>();
-		for (TimelineLine line : lines) {
-			if (!line.event().startsWith("STAGE_")) {
+		for (TimelineEvent event : events) {
+			if (!event.type().startsWith("STAGE_")) {
 				continue;
 			}
-			String stage = line.fields().getOrDefault("stage", "?");
-			String number = line.fields().getOrDefault("attempt", "?");
-			// Attempt ids end with the number of the attempt at the stage.
-			String shown = number.substring(number.lastIndexOf('/') + 1);
-			Attempt attempt = attempts.computeIfAbsent(line.vm() + "/" + stage + "/" + number,
-					(key) -> new Attempt(stage, line.fields().getOrDefault("endpoint", "?"), shown, line.atMs()));
-			if (line.event().equals("STAGE_ANSWERED")) {
-				attempt.end(line, "answered");
+			String stage = event.fields().getOrDefault("stage", "?");
+			String attemptId = event.fields().getOrDefault("attempt", "?");
+			// An attempt id ends with the number of the attempt within its stage.
+			String number = attemptId.substring(attemptId.lastIndexOf('/') + 1);
+			Attempt attempt = attempts.computeIfAbsent(event.vm() + "/" + stage + "/" + attemptId,
+					(key) -> new Attempt(stage, event.fields().getOrDefault("endpoint", "?"), number, event.atMs()));
+			if (event.type().equals("STAGE_ANSWERED")) {
+				attempt.complete(event, "answered");
 			}
-			else if (line.event().equals("STAGE_FAILED")) {
-				attempt.end(line, "failed: " + line.fields().getOrDefault("failure", "?") + " "
-						+ line.fields().getOrDefault("dispatch_state", ""));
+			else if (event.type().equals("STAGE_FAILED")) {
+				attempt.complete(event, "failed: " + event.fields().getOrDefault("failure", "?") + " "
+						+ event.fields().getOrDefault("dispatch_state", ""));
 			}
 		}
 		return attempts;
@@ -92,7 +92,7 @@
 
 		private long durationMs = -1;
 
-		private String result = "no end recorded";
+		private String result = "no result recorded";
 
 		private Attempt(String stage, String endpoint, String number, long startedAtMs) {
 			this.stage = stage;
@@ -101,10 +101,10 @@
 			this.startedAtMs = startedAtMs;
 		}
 
-		private void end(TimelineLine line, String newResult) {
-			String stated = line.fields().get("duration_ms");
-			this.durationMs = (stated != null && stated.matches("\\d{1,18}")) ? Long.parseLong(stated)
-					: line.atMs() - this.startedAtMs;
+		private void complete(TimelineEvent event, String newResult) {
+			String reported = event.fields().get("duration_ms");
+			this.durationMs = (reported != null && reported.matches("\\d{1,18}")) ? Long.parseLong(reported)
+					: event.atMs() - this.startedAtMs;
 			this.result = newResult.strip();
 		}
 
--- a/cli/src/main/java/org/fulmargap/cli/FulmargapCtl.java
+++ b/cli/src/main/java/org/fulmargap/cli/FulmargapCtl.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The operators' command line.
+ * Command-line interface for operators.
  */
 @Command(name = "fulmargapctl", mixinStandardHelpOptions = true, version = "fulmargapctl 0.1.0",
 		description = "Operates the entry VMs of fulmargap.",
@@ -24,12 +24,12 @@
 public final class FulmargapCtl implements Runnable {
 
 	@Option(names = "--admin", paramLabel = "IP:port", scope = ScopeType.INHERIT,
-			description = "Admin address of an entry VM. Repeat it to name several; orders go to the first one "
-					+ "that can be reached.")
+			description = "Admin address of an entry VM. May be repeated; commands that change state go to the first "
+					+ "address that can be reached.")
 	private List<String> admins = new ArrayList<>();
 
 	@Option(names = "--timeout-ms", paramLabel = "MS", defaultValue = "15000", scope = ScopeType.INHERIT,
-			description = "Longest wait for an answer in milliseconds (default: ${DEFAULT-VALUE}).")
+			description = "Time limit of each call in milliseconds (default: ${DEFAULT-VALUE}).")
 	private long timeoutMs;
 
 	@Spec
@@ -44,8 +44,9 @@
 	}
 
 	/**
-	 * Creates the parser of the command line.
-	 * @return the parser, which reports each error in one line
+	 * Creates the command-line parser.
+	 * @return the parser, which reports each error on one line and maps it to an exit
+	 * code
 	 */
 	static CommandLine commandLine() {
 		CommandLine line = new CommandLine(new FulmargapCtl());
@@ -69,7 +70,7 @@
 		throw new CommandLine.ParameterException(this.spec.commandLine(), "a command is missing");
 	}
 
-	List<AdminAddress> admins() {
+	List<AdminAddress> adminAddresses() {
 		LinkedHashSet<AdminAddress> parsed = new LinkedHashSet<>();
 		for (String admin : this.admins) {
 			try {
--- a/cli/src/main/java/org/fulmargap/cli/KeyValueLine.java
+++ b/cli/src/main/java/org/fulmargap/cli/KeyValueLine.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * Lines of key=value pairs as entry VMs log them.
+ * Reads and writes values in lines of key=value pairs, the log format of entry VMs.
  */
 final class KeyValueLine {
 
@@ -12,10 +12,10 @@
 	}
 
 	/**
-	 * Writes a value.
+	 * Quotes a value if necessary.
 	 * @param text the value
-	 * @return the value, in quotes if it is empty or contains blanks, quotes or equals
-	 * signs
+	 * @return the value, quoted and escaped if it is empty or contains spaces, control
+	 * characters, double quotes or equals signs
 	 */
 	static String quote(String text) {
 		if (!text.isEmpty() && text.chars().noneMatch((c) -> c <= ' ' || c == '"' || c == '=')) {
@@ -25,9 +25,10 @@
 	}
 
 	/**
-	 * Parses a line. Words that are not pairs are skipped.
+	 * Parses a line. Words that are not pairs are skipped; of a repeated key, the first
+	 * value counts.
 	 * @param line the line
-	 * @return the values by key in the order of the line
+	 * @return the values by key, in the order of the line
 	 */
 	static Map<String, String> parse(String line) {
 		Map<String, String> pairs = new LinkedHashMap<>();
--- a/cli/src/main/java/org/fulmargap/cli/MembersCommand.java
+++ b/cli/src/main/java/org/fulmargap/cli/MembersCommand.java
@@ -4,14 +4,15 @@
 import picocli.CommandLine.Command;
 
 /**
- * Prints the members.
+ * Prints one line per member.
  */
-@Command(name = "members", description = "Prints one line per entry VM, as the first reachable one sees them.")
+@Command(name = "members",
+		description = "Prints one line per entry VM, as reported by the first address that responds.")
 final class MembersCommand extends AdminCommand {
 
 	@Override
 	ExitCode run(AdminClient client) throws CommandException {
-		for (JsonNode member : client.read("v1", "members").accepted().path("members")) {
+		for (JsonNode member : client.read("v1", "members").successBody().path("members")) {
 			printLine(member);
 		}
 		return ExitCode.DONE;
--- a/cli/src/main/java/org/fulmargap/cli/OrderCommand.java
+++ b/cli/src/main/java/org/fulmargap/cli/OrderCommand.java
@@ -7,7 +7,8 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Base of the commands that take a target out of service or bring it back.
+ * Base of the commands that take a failure domain or an endpoint out of service or return
+ * it to service.
  */
 abstract class OrderCommand extends AdminCommand {
 
@@ -19,7 +20,7 @@
 
 	/**
 	 * Returns the state that the command sets.
-	 * @return {@code OUT} or {@code IN}
+	 * @return {@code OUT} or {@code IN}, as the operator interface names them
 	 */
 	abstract String state();
 
@@ -28,23 +29,23 @@
 		String path = switch (this.kind) {
 			case "failure-domain" -> "failure-domains";
 			case "endpoint" -> "endpoints";
-			default -> throw usage("'" + this.kind + "' is not one of failure-domain, endpoint");
+			default -> throw usageError("'" + this.kind + "' is not one of failure-domain, endpoint");
 		};
-		AdminReply reply = client.send("PUT", AdminClient.MAPPER.createObjectNode().put("state", state()), "v1", path,
-				this.name, "state");
-		JsonNode result = reply.accepted();
-		List<String> confirmed = texts(result.path("confirmed"));
-		List<String> missing = texts(result.path("not_confirmed"));
+		AdminResponse response = client.send("PUT", AdminClient.MAPPER.createObjectNode().put("state", state()), "v1",
+				path, this.name, "state");
+		JsonNode result = response.successBody();
+		List<String> confirmed = textValues(result.path("confirmed"));
+		List<String> unconfirmed = textValues(result.path("not_confirmed"));
 		out().println(this.kind + "=" + this.name + " state=" + state() + " in_force="
-				+ result.path("in_force").asBoolean(missing.isEmpty()) + " confirmed=" + String.join(",", confirmed)
-				+ " not_confirmed=" + String.join(",", missing));
-		return result.path("in_force").asBoolean(missing.isEmpty()) ? ExitCode.DONE : ExitCode.OUTCOME_UNKNOWN;
+				+ result.path("in_force").asBoolean(unconfirmed.isEmpty()) + " confirmed=" + String.join(",", confirmed)
+				+ " not_confirmed=" + String.join(",", unconfirmed));
+		return result.path("in_force").asBoolean(unconfirmed.isEmpty()) ? ExitCode.DONE : ExitCode.OUTCOME_UNKNOWN;
 	}
 
-	private static List<String> texts(JsonNode array) {
-		List<String> texts = new ArrayList<>();
-		array.forEach((node) -> texts.add(node.asText()));
-		return texts;
+	private static List<String> textValues(JsonNode array) {
+		List<String> values = new ArrayList<>();
+		array.forEach((node) -> values.add(node.asText()));
+		return values;
 	}
 
 }
--- a/cli/src/main/java/org/fulmargap/cli/TimelineCommand.java
+++ b/cli/src/main/java/org/fulmargap/cli/TimelineCommand.java
@@ -23,7 +23,7 @@
 	private List<Path> logFiles = new ArrayList<>();
 
 	@Override
-	boolean needsAdmin() {
+	boolean requiresAdmin() {
 		return this.logFiles.isEmpty();
 	}
 
@@ -31,21 +31,21 @@
 	ExitCode run(AdminClient client) throws CommandException {
 		boolean byRequest = this.selection.requestId != null;
 		String value = byRequest ? this.selection.requestId : String.valueOf(this.selection.configVersion);
-		List<TimelineLine> lines = new TimelineSources(client, this.logFiles, this::warn)
+		List<TimelineEvent> events = new TimelineSources(client, this.logFiles, this::warn)
 			.find(byRequest ? "request_id" : "config_version", value);
-		lines.forEach((line) -> out().println(line.toLine()));
-		if (lines.isEmpty()) {
+		events.forEach((event) -> out().println(event.toLine()));
+		if (events.isEmpty()) {
 			warn("no events found");
 		}
 		return ExitCode.DONE;
 	}
 
 	/**
-	 * What to select.
+	 * Selects the events, by exactly one of the two options.
 	 */
 	static final class Selection {
 
-		@Option(names = "--request-id", paramLabel = "ID", description = "Request id from an answer.")
+		@Option(names = "--request-id", paramLabel = "ID", description = "Request id from a response.")
 		private String requestId;
 
 		@Option(names = "--config-version", paramLabel = "N", description = "Configuration version.")
--- a/cli/src/main/java/org/fulmargap/cli/TimelineLine.java
+++ b/cli/src/main/java/org/fulmargap/cli/TimelineEvent.java
@@ -10,31 +10,31 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * One event of the time line.
+ * One event of the timeline.
  *
  * @param atMs when the event happened, milliseconds since the epoch
  * @param vm the entry VM that recorded the event
- * @param event the type of the event
- * @param requestId the request, or empty
+ * @param type the type of the event
+ * @param requestId the request id, or empty
  * @param configVersion the configuration version, or empty
- * @param fields further data
+ * @param fields the other fields by name
  */
-record TimelineLine(long atMs, String vm, String event, String requestId, String configVersion,
+record TimelineEvent(long atMs, String vm, String type, String requestId, String configVersion,
 		Map<String, String> fields) {
 
 	/**
-	 * Reads an event of the operator interface.
-	 * @param node the event
+	 * Reads an event from a response of the operator interface.
+	 * @param node the event as JSON
 	 * @return the event
 	 */
-	static TimelineLine of(JsonNode node) {
+	static TimelineEvent of(JsonNode node) {
 		Map<String, String> fields = new LinkedHashMap<>();
 		node.path("fields").fields().forEachRemaining((field) -> fields.put(field.getKey(), text(field.getValue())));
-		return new TimelineLine(node.path("at_ms").asLong(), node.path("vm").asText(), node.path("type").asText(),
+		return new TimelineEvent(node.path("at_ms").asLong(), node.path("vm").asText(), node.path("type").asText(),
 				node.path("request_id").asText(""), node.path("config_version").asText(""), fields);
 	}
 
-	// The operator interface writes an attempt id as an object, log lines as a text.
+	// An attempt id that is an object gets the text form that log lines use.
 	private static String text(JsonNode value) {
 		if (value.hasNonNull("requestNumber") && value.hasNonNull("attempt")) {
 			return value.path("incarnation").asText() + "/" + value.path("requestNumber").asLong() + "/"
@@ -44,11 +44,11 @@
 	}
 
 	/**
-	 * Reads a log line.
+	 * Reads an event from a log line.
 	 * @param line the line
-	 * @return the event, or empty if the line is none
+	 * @return the event, or empty if the line lacks a valid time, an event or a VM
 	 */
-	static Optional<TimelineLine> parse(String line) {
+	static Optional<TimelineEvent> parse(String line) {
 		Map<String, String> pairs = KeyValueLine.parse(line);
 		if (!pairs.containsKey("at") || !pairs.containsKey("event") || !pairs.containsKey("vm")) {
 			return Optional.empty();
@@ -58,10 +58,10 @@
 			pairs.remove("level");
 			pairs.remove("logger");
 			String vm = pairs.remove("vm");
-			String event = pairs.remove("event");
+			String type = pairs.remove("event");
 			String requestId = Optional.ofNullable(pairs.remove("request_id")).orElse("");
 			String version = Optional.ofNullable(pairs.remove("config_version")).orElse("");
-			return Optional.of(new TimelineLine(atMs, vm, event, requestId, version, pairs));
+			return Optional.of(new TimelineEvent(atMs, vm, type, requestId, version, pairs));
 		}
 		catch (DateTimeParseException ex) {
 			return Optional.empty();
@@ -69,13 +69,14 @@
 	}
 
 	/**
-	 * Tells whether another line is a copy of this event from another source. A log line
-	 * carries the time at which it was written, a little after the event.
-	 * @param other the other line
-	 * @return {@code true} if only the times differ, by at most 100 ms
+	 * Returns whether another event is a duplicate of this one from another source. The
+	 * time of a log line is the time at which it was written, slightly after the event.
+	 * @param other the other event
+	 * @return {@code true} if the events are equal apart from their times, which differ
+	 * by at most 100 ms
 	 */
-	boolean isCopyOf(TimelineLine other) {
-		return this.vm.equals(other.vm) && this.event.equals(other.event) && this.requestId.equals(other.requestId)
+	boolean isDuplicateOf(TimelineEvent other) {
+		return this.vm.equals(other.vm) && this.type.equals(other.type) && this.requestId.equals(other.requestId)
 				&& this.configVersion.equals(other.configVersion) && this.fields.equals(other.fields)
 				&& Math.abs(this.atMs - other.atMs) <= 100;
 	}
@@ -89,7 +90,7 @@
 			.append(" vm=")
 			.append(KeyValueLine.quote(this.vm))
 			.append(" event=")
-			.append(KeyValueLine.quote(this.event));
+			.append(KeyValueLine.quote(this.type));
 		if (!this.requestId.isEmpty()) {
 			line.append(" request_id=").append(KeyValueLine.quote(this.requestId));
 		}
--- a/cli/src/main/java/org/fulmargap/cli/TimelineSources.java
+++ b/cli/src/main/java/org/fulmargap/cli/TimelineSources.java
@@ -14,7 +14,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Collects events from entry VMs and log files.
+ * Collects timeline events from entry VMs and log files.
  */
 final class TimelineSources {
 
@@ -31,23 +31,24 @@
 	}
 
 	/**
-	 * Collects events, sorted by time.
+	 * Finds events in all sources and sorts them by time. A source that cannot be read
+	 * gives a warning.
 	 * @param parameter {@code request_id} or {@code config_version}
-	 * @param value the value that events must have
-	 * @return the events without copies
-	 * @throws CommandException if no source could be read
+	 * @param value the value that the events must have
+	 * @return the events, without log lines that duplicate an event from another source
+	 * @throws CommandException if no source can be read
 	 */
-	List<TimelineLine> find(String parameter, String value) throws CommandException {
-		List<TimelineLine> lines = new ArrayList<>();
+	List<TimelineEvent> find(String parameter, String value) throws CommandException {
+		List<TimelineEvent> events = new ArrayList<>();
 		CommandException failure = null;
 		int sources = 0;
-		for (AdminAddress admin : this.client.admins()) {
+		for (AdminAddress address : this.client.addresses()) {
 			try {
-				for (JsonNode event : this.client
-					.get(admin.url("v1", "timeline").addQueryParameter(parameter, value).build(), admin)
-					.accepted()
+				for (JsonNode node : this.client
+					.get(address.url("v1", "timeline").addQueryParameter(parameter, value).build(), address)
+					.successBody()
 					.path("events")) {
-					lines.add(TimelineLine.of(event));
+					events.add(TimelineEvent.of(node));
 				}
 				sources++;
 			}
@@ -56,18 +57,18 @@
 				this.warnings.accept(ex.getMessage() + "; its events are missing");
 			}
 		}
-		Predicate<TimelineLine> wanted = (line) -> value
-			.equals(parameter.equals("request_id") ? line.requestId() : line.configVersion());
+		Predicate<TimelineEvent> matches = (event) -> value
+			.equals(parameter.equals("request_id") ? event.requestId() : event.configVersion());
 		for (Path file : this.logFiles) {
-			try (Stream<String> text = Files.lines(file, StandardCharsets.ISO_8859_1)) {
-				// A byte that is not valid UTF-8 in one line must not hide the rest of
-				// the file.
-				text.map((line) -> new String(line.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8))
-					.flatMap((line) -> TimelineLine.parse(line).stream())
-					.filter(wanted)
-					.filter((line) -> lines.stream().noneMatch(line::isCopyOf))
+			try (Stream<String> lines = Files.lines(file, StandardCharsets.ISO_8859_1)) {
+				// Malformed UTF-8 in one line must not prevent reading the rest of the
+				// file.
+				lines.map((line) -> new String(line.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8))
+					.flatMap((line) -> TimelineEvent.parse(line).stream())
+					.filter(matches)
+					.filter((event) -> events.stream().noneMatch(event::isDuplicateOf))
 					.toList()
-					.forEach(lines::add);
+					.forEach(events::add);
 				sources++;
 			}
 			catch (IOException ex) {
@@ -78,8 +79,8 @@
 		if (sources == 0 && failure != null) {
 			throw failure;
 		}
-		lines.sort(Comparator.comparingLong(TimelineLine::atMs));
-		return lines;
+		events.sort(Comparator.comparingLong(TimelineEvent::atMs));
+		return events;
 	}
 
 }
--- a/cli/src/main/java/org/fulmargap/cli/VersionsCommand.java
+++ b/cli/src/main/java/org/fulmargap/cli/VersionsCommand.java
@@ -11,21 +11,22 @@
  * Prints the configuration version in force at each entry VM.
  */
 @Command(name = "versions", description = { "Prints the configuration version in force at each entry VM.",
-		"An entry VM that is not at a given address is reported by a peer; its version may be a second old." })
+		"An entry VM whose address is not given is reported by a peer; its version may be a second old." })
 final class VersionsCommand extends AdminCommand {
 
 	@Override
 	ExitCode run(AdminClient client) throws CommandException {
 		Map<String, JsonNode> latest = new TreeMap<>();
 		CommandException failure = null;
-		for (AdminAddress admin : client.admins()) {
+		for (AdminAddress address : client.addresses()) {
 			try {
-				for (JsonNode member : client.get(admin.url("v1", "members").build(), admin)
-					.accepted()
+				for (JsonNode member : client.get(address.url("v1", "members").build(), address)
+					.successBody()
 					.path("members")) {
-					// An entry VM reports itself as heard at the time of its answer.
+					// Keeps the newest report; an entry VM gives the time of its response
+					// as its own last_heard_at_ms.
 					latest.merge(member.path("vm").asText(), member,
-							(left, right) -> (heardAtMs(right) > heardAtMs(left)) ? right : left);
+							(left, right) -> (receivedAtMs(right) > receivedAtMs(left)) ? right : left);
 				}
 			}
 			catch (CommandException ex) {
@@ -38,11 +39,11 @@
 		}
 		latest.forEach((vm, member) -> out().println("vm=" + KeyValueLine.quote(vm) + " version="
 				+ member.path("config_version").asLong() + " alive=" + member.path("alive").asBoolean() + " joined="
-				+ member.path("joined").asBoolean() + " last_heard_at=" + Instant.ofEpochMilli(heardAtMs(member))));
+				+ member.path("joined").asBoolean() + " last_heard_at=" + Instant.ofEpochMilli(receivedAtMs(member))));
 		return ExitCode.DONE;
 	}
 
-	private static long heardAtMs(JsonNode member) {
+	private static long receivedAtMs(JsonNode member) {
 		return member.path("last_heard_at_ms").asLong();
 	}
 
--- a/cli/src/main/java/org/fulmargap/cli/package-info.java
+++ b/cli/src/main/java/org/fulmargap/cli/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The operators' command line.
+ * Command-line interface for operators.
  */
 package org.fulmargap.cli;
--- a/cli/src/test/java/org/fulmargap/cli/ExplainCommandTests.java
+++ b/cli/src/test/java/org/fulmargap/cli/ExplainCommandTests.java
@@ -13,7 +13,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests of {@link ExplainCommand}.
+ * Tests for {@link ExplainCommand}.
  */
 class ExplainCommandTests {
 
@@ -22,14 +22,14 @@
 	private final StringWriter err = new StringWriter();
 
 	@TempDir
-	private Path folder;
+	private Path directory;
 
 	private int explain(String id, String... logs) throws IOException {
 		String[] args = new String[2 + logs.length];
 		args[0] = "explain";
 		args[1] = id;
 		for (int i = 0; i < logs.length; i++) {
-			args[2 + i] = Files.writeString(this.folder.resolve("vm-" + i + ".log"), logs[i]).toString();
+			args[2 + i] = Files.writeString(this.directory.resolve("vm-" + i + ".log"), logs[i]).toString();
 		}
 		CommandLine line = FulmargapCtl.commandLine();
 		line.setOut(new PrintWriter(this.out, true));
@@ -38,7 +38,7 @@
 	}
 
 	@Test
-	void aRefusalIsExplainedByTheDecisionThatLedToIt() throws IOException {
+	void aRefusalIsExplainedByItsCause() throws IOException {
 		int code = explain("a1", """
 				at=10:00:00.200 level=INFO event=refused request=a1 reason=OVERLOADED age_ms=0 calls=0 runs=0
 				at=10:00:00.100 level=INFO event=not_admitted request=a1 stages_ms=2600 objective_ms=1900 rank=1
@@ -51,7 +51,7 @@
 	}
 
 	@Test
-	void linesOfSeveralVmsAreToldInTheOrderOfTime() throws IOException {
+	void linesOfSeveralVmsAreSortedByTime() throws IOException {
 		explain("a1", "at=10:00:01.000 event=answered request=a1 status=200 age_ms=900 runs=1\n",
 				"at=10:00:00.500 event=piece_failed request=a1 service=s stage=0 endpoint=e reason=NO_ROOM\n");
 		assertThat(this.out.toString().lines().toList()).hasSize(3)
@@ -62,7 +62,7 @@
 	}
 
 	@Test
-	void aRequestThatIsInNoLogIsAnError() throws IOException {
+	void anUnknownRequestIsAnError() throws IOException {
 		assertThat(explain("a1", "")).isEqualTo(1);
 		assertThat(this.err.toString()).contains("no line of request a1");
 	}
--- a/cli/src/test/java/org/fulmargap/cli/FulmargapCtlTests.java
+++ b/cli/src/test/java/org/fulmargap/cli/FulmargapCtlTests.java
@@ -28,12 +28,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against exit codes and lines that tell operators something else than what
- * happened.
+ * Guards against exit codes and output that misreport the outcome of a command.
  */
 class FulmargapCtlTests {
 
-	private final Map<String, Answer> answers = new HashMap<>();
+	private final Map<String, CannedResponse> responses = new HashMap<>();
 
 	private final List<String> requests = new ArrayList<>();
 
@@ -55,9 +54,9 @@
 			String request = exchange.getRequestMethod() + " " + exchange.getRequestURI().getRawPath();
 			this.requests
 				.add(request + " " + new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8));
-			Answer answer = this.answers.getOrDefault(request, new Answer(500, ""));
-			byte[] body = answer.body().replace('\'', '"').getBytes(StandardCharsets.UTF_8);
-			exchange.sendResponseHeaders(answer.status(), (body.length > 0) ? body.length : -1);
+			CannedResponse response = this.responses.getOrDefault(request, new CannedResponse(500, ""));
+			byte[] body = response.body().replace('\'', '"').getBytes(StandardCharsets.UTF_8);
+			exchange.sendResponseHeaders(response.status(), (body.length > 0) ? body.length : -1);
 			exchange.getResponseBody().write(body);
 			exchange.close();
 		});
@@ -94,7 +93,7 @@
 		}
 	}
 
-	private record Answer(int status, String body) {
+	private record CannedResponse(int status, String body) {
 	}
 
 	@Nested
@@ -104,7 +103,8 @@
 
 		@Test
 		void printTheAcceptedVersion() throws IOException {
-			FulmargapCtlTests.this.answers.put(PATH, new Answer(200, "{'accepted':true,'version':4,'refusal':null}"));
+			FulmargapCtlTests.this.responses.put(PATH,
+					new CannedResponse(200, "{'accepted':true,'version':4,'refusal':null}"));
 			assertThat(patch()).isZero();
 			assertThat(FulmargapCtlTests.this.out)
 				.hasToString("accepted version=4 patch_id=p1" + System.lineSeparator());
@@ -113,36 +113,36 @@
 		}
 
 		@Test
-		void printTheTypedRefusal() throws IOException {
-			FulmargapCtlTests.this.answers.put(PATH,
-					new Answer(503, "{'accepted':false,'version':3,'refusal':'NOT_ACKNOWLEDGED','message':'vm-2'}"));
+		void printTheRefusalType() throws IOException {
+			FulmargapCtlTests.this.responses.put(PATH, new CannedResponse(503,
+					"{'accepted':false,'version':3,'refusal':'NOT_ACKNOWLEDGED','message':'vm-2'}"));
 			assertThat(patch()).isEqualTo(1);
 			assertThat(FulmargapCtlTests.this.err.toString().lines())
 				.containsExactly("fulmargapctl: refused: NOT_ACKNOWLEDGED version=3 patch_id=p1: vm-2");
 		}
 
 		@Test
-		void areUnknownWhenTheDecisionIs() throws IOException {
-			FulmargapCtlTests.this.answers.put(PATH,
-					new Answer(502, "{'accepted':false,'version':3,'refusal':'DECISION_UNKNOWN','message':'m'}"));
+		void exitWithFourWhenTheDecisionIsUnknown() throws IOException {
+			FulmargapCtlTests.this.responses.put(PATH, new CannedResponse(502,
+					"{'accepted':false,'version':3,'refusal':'DECISION_UNKNOWN','message':'m'}"));
 			assertThat(patch()).isEqualTo(4);
 		}
 
 		@Test
-		void areUnknownWhenTheAnswerIsLostAndGoToNoOtherVm() throws Exception {
-			try (ServerSocket broken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+		void exitWithFourWhenTheResponseIsLostAndAreNotSentToAnotherVm() throws Exception {
+			try (ServerSocket dropping = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
 				CompletableFuture<Void> closing = CompletableFuture.runAsync(() -> {
-					try (Socket socket = broken.accept()) {
+					try (Socket socket = dropping.accept()) {
 						socket.getInputStream().read();
 					}
 					catch (IOException ex) {
 						throw new IllegalStateException(ex);
 					}
 				});
-				String good = FulmargapCtlTests.this.admin;
-				FulmargapCtlTests.this.admin = "127.0.0.1:" + broken.getLocalPort();
+				String reachable = FulmargapCtlTests.this.admin;
+				FulmargapCtlTests.this.admin = "127.0.0.1:" + dropping.getLocalPort();
 				Path file = Files.writeString(FulmargapCtlTests.this.directory.resolve("p.json"), "{}");
-				assertThat(run("--admin", good, "patch", "--expected-version", "3", "--file", file.toString()))
+				assertThat(run("--admin", reachable, "patch", "--expected-version", "3", "--file", file.toString()))
 					.isEqualTo(4);
 				closing.join();
 				assertThat(FulmargapCtlTests.this.requests).isEmpty();
@@ -158,19 +158,19 @@
 
 		@Test
 		void goToTheFirstReachableVmAndPrintConfirmations() throws IOException {
-			FulmargapCtlTests.this.answers.put(PATH,
-					new Answer(200, "{'in_force':true,'confirmed':['a','b'],'not_confirmed':[]}"));
-			String good = FulmargapCtlTests.this.admin;
+			FulmargapCtlTests.this.responses.put(PATH,
+					new CannedResponse(200, "{'in_force':true,'confirmed':['a','b'],'not_confirmed':[]}"));
+			String reachable = FulmargapCtlTests.this.admin;
 			FulmargapCtlTests.this.admin = unusedAddress();
-			assertThat(run("--admin", good, "take-out", "failure-domain", "gent-a")).isZero();
+			assertThat(run("--admin", reachable, "take-out", "failure-domain", "gent-a")).isZero();
 			assertThat(FulmargapCtlTests.this.out.toString()).contains("in_force=true confirmed=a,b not_confirmed=");
 			assertThat(FulmargapCtlTests.this.requests).containsExactly(PATH + " {\"state\":\"OUT\"}");
 		}
 
 		@Test
 		void exitWithFourWhenAVmDidNotConfirm() {
-			FulmargapCtlTests.this.answers.put(PATH,
-					new Answer(200, "{'in_force':false,'confirmed':['a'],'not_confirmed':['b']}"));
+			FulmargapCtlTests.this.responses.put(PATH,
+					new CannedResponse(200, "{'in_force':false,'confirmed':['a'],'not_confirmed':['b']}"));
 			assertThat(run("bring-back", "failure-domain", "gent-a")).isEqualTo(4);
 			assertThat(FulmargapCtlTests.this.out.toString()).contains("confirmed=a not_confirmed=b");
 		}
@@ -183,13 +183,15 @@
 
 		@Test
 		void exitWithOneWhenTheEvictionWasNotRecorded() {
-			FulmargapCtlTests.this.answers.put("GET /v1/members",
-					new Answer(200, "{'members':[{'vm':'b','joined':true},{'vm':'c','joined':false}]}"));
+			FulmargapCtlTests.this.responses.put("GET /v1/members",
+					new CannedResponse(200, "{'members':[{'vm':'b','joined':true},{'vm':'c','joined':false}]}"));
 			assertThat(run("evict", "c")).isEqualTo(1);
 			assertThat(run("evict", "d")).isEqualTo(1);
-			FulmargapCtlTests.this.answers.put("POST /v1/members/b/evict", new Answer(503, "{'evicted':false}"));
+			FulmargapCtlTests.this.responses.put("POST /v1/members/b/evict",
+					new CannedResponse(503, "{'evicted':false}"));
 			assertThat(run("evict", "b")).isEqualTo(1);
-			FulmargapCtlTests.this.answers.put("POST /v1/members/b/evict", new Answer(200, "{'evicted':true}"));
+			FulmargapCtlTests.this.responses.put("POST /v1/members/b/evict",
+					new CannedResponse(200, "{'evicted':true}"));
 			assertThat(run("evict", "b")).isZero();
 		}
 
@@ -206,8 +208,8 @@
 		}
 
 		@Test
-		void mergeEventsOfVmsAndLogFilesByTimeWithoutCopies() throws IOException {
-			FulmargapCtlTests.this.answers.put("GET /v1/timeline", new Answer(200,
+		void mergeEventsOfVmsAndLogFilesByTimeWithoutDuplicates() throws IOException {
+			FulmargapCtlTests.this.responses.put("GET /v1/timeline", new CannedResponse(200,
 					"{'events':[{'at_ms':2000,'vm':'a','type':'STAGE_ANSWERED','request_id':'a-1/7','config_version':3,"
 							+ "'fields':{'stage':'rank','attempt':{'incarnation':'a-1','requestNumber':7,'stageIndex':0,"
 							+ "'attempt':0},'endpoint':'e1','duration_ms':12}}]}"));
@@ -230,8 +232,8 @@
 		}
 
 		@Test
-		void printTheVersionThatWasHeardLast() throws IOException {
-			FulmargapCtlTests.this.answers.put("GET /v1/members", new Answer(200,
+		void printTheVersionThatWasReceivedLast() throws IOException {
+			FulmargapCtlTests.this.responses.put("GET /v1/members", new CannedResponse(200,
 					"{'members':[{'vm':'a','config_version':7,'alive':true,'joined':true,'last_heard_at_ms':0}]}"));
 			assertThat(run("--admin", unusedAddress(), "versions")).isZero();
 			assertThat(FulmargapCtlTests.this.out.toString().lines())
@@ -240,8 +242,8 @@
 		}
 
 		@Test
-		void explainNothingForAnUnknownRequest() {
-			FulmargapCtlTests.this.answers.put("GET /v1/timeline", new Answer(200, "{'events':[]}"));
+		void exitWithOneWhenARequestIsUnknown() {
+			FulmargapCtlTests.this.responses.put("GET /v1/timeline", new CannedResponse(200, "{'events':[]}"));
 			assertThat(run("explain-request", "x/1")).isEqualTo(1);
 		}
 
