--- a/core/src/main/java/org/fulmargap/batch/BatchFormer.java
+++ b/core/src/main/java/org/fulmargap/batch/BatchFormer.java
@@ -43,14 +43,14 @@
 	/** While this many full calls wait, no endpoint is left idle. */
 	private static final int BUSY_BATCHES = 2;
 
-	private static final Comparator<Piece> MOST_URGENT = Comparator.comparingLong(BatchFormer::urgencyMs)
-		.thenComparing(Piece::attemptId)
-		.thenComparingInt(Piece::stage)
-		.thenComparingLong(Piece::ticket);
+	private static final Comparator<WorkItem> MOST_URGENT = Comparator.comparingLong(BatchFormer::urgencyMs)
+		.thenComparing(WorkItem::attemptId)
+		.thenComparingInt(WorkItem::stage)
+		.thenComparingLong(WorkItem::itemId);
 
-	private final TreeSet<Piece> waiting = new TreeSet<>(MOST_URGENT);
+	private final TreeSet<WorkItem> waiting = new TreeSet<>(MOST_URGENT);
 
-	private final TreeSet<Piece> late = new TreeSet<>(MOST_URGENT);
+	private final TreeSet<WorkItem> late = new TreeSet<>(MOST_URGENT);
 
 	private final Map<String, StageRoom> rooms = new HashMap<>();
 
@@ -66,8 +66,8 @@
 		this.capacity = capacity;
 	}
 
-	private static long urgencyMs(Piece piece) {
-		return piece.dueAtMs() + piece.priority() * RANK_MS;
+	private static long urgencyMs(WorkItem item) {
+		return item.dueAtMs() + item.priority() * RANK_MS;
 	}
 
 	/**
@@ -80,19 +80,19 @@
 
 	/**
 	 * Adds a piece.
-	 * @param piece the piece
+	 * @param item the piece
 	 */
-	public void add(Piece piece) {
-		this.waiting.add(piece);
+	public void add(WorkItem item) {
+		this.waiting.add(item);
 	}
 
 	/**
 	 * Removes a piece that waits.
-	 * @param piece the piece
+	 * @param item the piece
 	 * @return whether it was waiting
 	 */
-	public boolean remove(Piece piece) {
-		return this.waiting.remove(piece) || this.late.remove(piece);
+	public boolean remove(WorkItem item) {
+		return this.waiting.remove(item) || this.late.remove(item);
 	}
 
 	/**
@@ -117,9 +117,9 @@
 	 * @return the number
 	 */
 	public int nearCount(StageCall call) {
-		return (int) call.pieces()
+		return (int) call.items()
 			.stream()
-			.filter((piece) -> piece.isNear(call.endpoint().record().failureDomain()))
+			.filter((item) -> item.isNear(call.endpoint().record().failureDomain()))
 			.count();
 	}
 
@@ -140,29 +140,29 @@
 	 * @param nowMs the present time in milliseconds
 	 * @return the removed pieces
 	 */
-	public List<Piece> expire(int endpoints, long nowMs) {
+	public List<WorkItem> expire(int endpoints, long nowMs) {
 		// While many pieces wait, calls are full and take longer.
 		double callMs = expectedMs(Math.min(this.capacity.batch(), Math.max(1, waitingCount())));
-		for (Iterator<Piece> i = this.waiting.iterator(); i.hasNext();) {
-			Piece piece = i.next();
-			if (nowMs + callMs > piece.dueAtMs()) {
-				this.late.add(piece);
+		for (Iterator<WorkItem> i = this.waiting.iterator(); i.hasNext();) {
+			WorkItem item = i.next();
+			if (nowMs + callMs > item.dueAtMs()) {
+				this.late.add(item);
 				i.remove();
 			}
 		}
-		List<Piece> expired = new ArrayList<>();
+		List<WorkItem> expired = new ArrayList<>();
 		expire(this.waiting, endpoints, nowMs + callMs, 0, expired);
 		expire(this.late, endpoints, nowMs + callMs, this.waiting.size(), expired);
 		return expired;
 	}
 
-	private void expire(TreeSet<Piece> pieces, int endpoints, double doneAtMs, int before, List<Piece> expired) {
-		double pieceMs = expectedMs(this.capacity.batch()) / this.capacity.batch() / Math.max(1, endpoints);
+	private void expire(TreeSet<WorkItem> items, int endpoints, double doneAtMs, int before, List<WorkItem> expired) {
+		double itemMs = expectedMs(this.capacity.batch()) / this.capacity.batch() / Math.max(1, endpoints);
 		int place = before;
-		for (Iterator<Piece> i = pieces.iterator(); i.hasNext();) {
-			Piece piece = i.next();
-			if (doneAtMs + place * pieceMs > piece.expiresAtMs()) {
-				expired.add(piece);
+		for (Iterator<WorkItem> i = items.iterator(); i.hasNext();) {
+			WorkItem item = i.next();
+			if (doneAtMs + place * itemMs > item.expiresAtMs()) {
+				expired.add(item);
 				i.remove();
 			}
 			else {
@@ -182,8 +182,8 @@
 		if (waitingCount() == 0 || free.isEmpty()) {
 			return Optional.empty();
 		}
-		List<PieceGroup> groups = candidates();
-		for (PieceGroup group : groups) {
+		List<WorkItemGroup> groups = candidates();
+		for (WorkItemGroup group : groups) {
 			Optional<Endpoint> best = best(group, free, nowMs);
 			if (best.isPresent() && !waitsForNear(group, best.get(), endpoints, nowMs)) {
 				return Optional.of(take(best.get(), group, groups, endpoints, nowMs));
@@ -196,7 +196,7 @@
 		return !endpoint.isSuspended(nowMs) && room(endpoint).callsInFlight() < this.capacity.slots();
 	}
 
-	private Optional<Endpoint> best(PieceGroup group, List<Endpoint> free, long nowMs) {
+	private Optional<Endpoint> best(WorkItemGroup group, List<Endpoint> free, long nowMs) {
 		Endpoint best = null;
 		for (Endpoint endpoint : free) {
 			boolean fits = freeBytes(endpoint, nowMs) >= group.resultBytes();
@@ -207,7 +207,7 @@
 		return Optional.ofNullable(best);
 	}
 
-	private boolean isBetter(PieceGroup group, Endpoint endpoint, Endpoint best, long nowMs) {
+	private boolean isBetter(WorkItemGroup group, Endpoint endpoint, Endpoint best, long nowMs) {
 		int bySpeed = Double.compare(Math.round(endpoint.slowness()), Math.round(best.slowness()));
 		if (bySpeed != 0) {
 			return bySpeed < 0;
@@ -218,7 +218,7 @@
 
 	// Large inputs are not moved to another failure domain if an endpoint beside them is
 	// done with its call soon enough. While many pieces wait, no endpoint is left idle.
-	private boolean waitsForNear(PieceGroup group, Endpoint endpoint, List<Endpoint> endpoints, long nowMs) {
+	private boolean waitsForNear(WorkItemGroup group, Endpoint endpoint, List<Endpoint> endpoints, long nowMs) {
 		if (group.isNear(endpoint) || waitingCount() > this.capacity.batch() * BUSY_BATCHES) {
 			return false;
 		}
@@ -228,60 +228,60 @@
 					&& room(near).callEndsAtMs() <= latestStartMs);
 	}
 
-	private StageCall take(Endpoint endpoint, PieceGroup first, List<PieceGroup> groups, List<Endpoint> endpoints,
+	private StageCall take(Endpoint endpoint, WorkItemGroup first, List<WorkItemGroup> groups, List<Endpoint> endpoints,
 			long nowMs) {
 		long freeBytes = freeBytes(endpoint, nowMs);
-		List<Piece> pieces = new ArrayList<>(first.pieces());
+		List<WorkItem> items = new ArrayList<>(first.items());
 		long leftBytes = freeBytes - first.resultBytes();
 		// Groups whose inputs lie beside the endpoint go first among the most urgent
 		// ones.
 		for (boolean near : new boolean[] { true, false }) {
-			for (PieceGroup group : groups) {
-				boolean fits = pieces.size() + group.pieces().size() <= this.capacity.batch()
+			for (WorkItemGroup group : groups) {
+				boolean fits = items.size() + group.items().size() <= this.capacity.batch()
 						&& group.resultBytes() <= leftBytes;
 				if (fits && group != first && group.isNear(endpoint) == near
 						&& !waitsForNear(group, endpoint, endpoints, nowMs)) {
-					pieces.addAll(group.pieces());
+					items.addAll(group.items());
 					leftBytes -= group.resultBytes();
 				}
 			}
 		}
-		if (waitingCount() - pieces.size() >= this.capacity.batch()) {
-			leftBytes = fill(pieces, groups, leftBytes);
+		if (waitingCount() - items.size() >= this.capacity.batch()) {
+			leftBytes = fill(items, groups, leftBytes);
 		}
-		pieces.forEach(this::remove);
-		double expectedMs = expectedMs(pieces.size());
+		items.forEach(this::remove);
+		double expectedMs = expectedMs(items.size());
 		room(endpoint).callStarted(freeBytes - leftBytes, nowMs + expectedMs * endpoint.slowness());
-		return new StageCall(endpoint, List.copyOf(pieces), expectedMs);
+		return new StageCall(endpoint, List.copyOf(items), expectedMs);
 	}
 
 	// While full calls wait, room in a call is worth more than whole requests.
-	private long fill(List<Piece> pieces, List<PieceGroup> groups, long freeBytes) {
+	private long fill(List<WorkItem> items, List<WorkItemGroup> groups, long freeBytes) {
 		long leftBytes = freeBytes;
-		for (PieceGroup group : groups) {
-			if (pieces.contains(group.first())) {
+		for (WorkItemGroup group : groups) {
+			if (items.contains(group.first())) {
 				continue;
 			}
-			for (Piece piece : group.pieces()) {
-				if (pieces.size() < this.capacity.batch() && piece.resultBytes() <= leftBytes) {
-					pieces.add(piece);
-					leftBytes -= piece.resultBytes();
+			for (WorkItem item : group.items()) {
+				if (items.size() < this.capacity.batch() && item.resultBytes() <= leftBytes) {
+					items.add(item);
+					leftBytes -= item.resultBytes();
 				}
 			}
 		}
 		return leftBytes;
 	}
 
-	private List<PieceGroup> candidates() {
+	private List<WorkItemGroup> candidates() {
 		int most = (int) (this.capacity.batch() * CANDIDATE_BATCHES);
-		List<Piece> candidates = new ArrayList<>(most);
-		for (Iterator<Piece> i = this.waiting.iterator(); i.hasNext() && candidates.size() < most;) {
+		List<WorkItem> candidates = new ArrayList<>(most);
+		for (Iterator<WorkItem> i = this.waiting.iterator(); i.hasNext() && candidates.size() < most;) {
 			candidates.add(i.next());
 		}
-		for (Iterator<Piece> i = this.late.iterator(); i.hasNext() && candidates.size() < most;) {
+		for (Iterator<WorkItem> i = this.late.iterator(); i.hasNext() && candidates.size() < most;) {
 			candidates.add(i.next());
 		}
-		return PieceGroup.of(candidates)
+		return WorkItemGroup.of(candidates)
 			.stream()
 			.map((group) -> group.atMost(this.capacity.batch(), usableBytes()))
 			.toList();
@@ -289,11 +289,11 @@
 
 	/**
 	 * Returns the time that a call takes at an endpoint of usual speed.
-	 * @param pieces the number of pieces
+	 * @param items the number of pieces
 	 * @return the time in milliseconds
 	 */
-	public double expectedMs(int pieces) {
-		return this.capacity.callMs() + pieces * this.capacity.pieceMs();
+	public double expectedMs(int items) {
+		return this.capacity.callMs() + items * this.capacity.itemMs();
 	}
 
 	/**
@@ -301,7 +301,7 @@
 	 * @param call the call
 	 */
 	public void ended(StageCall call) {
-		room(call.endpoint()).callEnded(call.pieces().stream().mapToLong(Piece::resultBytes).sum());
+		room(call.endpoint()).callEnded(call.items().stream().mapToLong(WorkItem::resultBytes).sum());
 	}
 
 	/**
@@ -355,7 +355,7 @@
 	public List<String> reclaim(long nowMs) {
 		List<String> handles = new ArrayList<>();
 		if (waitingCount() > 0) {
-			Piece first = candidates().get(0).first();
+			WorkItem first = candidates().get(0).first();
 			long wantedBytes = first.resultBytes() * this.capacity.batch();
 			for (StageRoom room : this.rooms.values()) {
 				long freeBytes = usableBytes() - room.usedBytes(nowMs);
--- a/core/src/main/java/org/fulmargap/batch/CommittedWork.java
+++ b/core/src/main/java/org/fulmargap/batch/CommittedWork.java
@@ -24,21 +24,21 @@
 	 * Records pieces that were admitted.
 	 * @param service the service
 	 * @param rank the rank of their request
-	 * @param pieces the number of pieces
+	 * @param items the number of pieces
 	 */
-	public void add(String service, int rank, int pieces) {
+	public void add(String service, int rank, int items) {
 		int[] byRank = this.own.computeIfAbsent(service, (name) -> new int[RANKS]);
-		byRank[index(rank)] += pieces;
+		byRank[index(rank)] += items;
 	}
 
 	/**
 	 * Records pieces that are done or no longer needed.
 	 * @param service the service
 	 * @param rank the rank of their request
-	 * @param pieces the number of pieces
+	 * @param items the number of pieces
 	 */
-	public void remove(String service, int rank, int pieces) {
-		add(service, rank, -pieces);
+	public void remove(String service, int rank, int items) {
+		add(service, rank, -items);
 	}
 
 	/**
@@ -54,11 +54,11 @@
 	/**
 	 * Takes over a peer's report.
 	 * @param peer the name of the peer
-	 * @param pieces its pieces by rank, by service
+	 * @param items its pieces by rank, by service
 	 * @param nowMs the present time in milliseconds
 	 */
-	public void reported(String peer, Map<String, int[]> pieces, long nowMs) {
-		this.reports.put(peer, new Report(Map.copyOf(pieces), nowMs));
+	public void reported(String peer, Map<String, int[]> items, long nowMs) {
+		this.reports.put(peer, new Report(Map.copyOf(items), nowMs));
 	}
 
 	/**
@@ -72,7 +72,7 @@
 		int sum = sum(this.own.get(service), rank);
 		for (Report report : this.reports.values()) {
 			if (nowMs - report.reportedAtMs() < REPORT_LIFETIME_MS) {
-				sum += sum(report.pieces().get(service), rank);
+				sum += sum(report.items().get(service), rank);
 			}
 		}
 		return sum;
@@ -90,7 +90,7 @@
 		return Math.max(0, Math.min(RANKS - 1, rank));
 	}
 
-	private record Report(Map<String, int[]> pieces, long reportedAtMs) {
+	private record Report(Map<String, int[]> items, long reportedAtMs) {
 	}
 
 }
--- a/core/src/main/java/org/fulmargap/batch/StageCall.java
+++ b/core/src/main/java/org/fulmargap/batch/StageCall.java
@@ -8,8 +8,8 @@
  * A call with pieces to one endpoint.
  *
  * @param endpoint the endpoint
- * @param pieces the pieces in the order of the call
+ * @param items the pieces in the order of the call
  * @param expectedMs the expected time of the call in milliseconds
  */
-public record StageCall(Endpoint endpoint, List<Piece> pieces, double expectedMs) {
+public record StageCall(Endpoint endpoint, List<WorkItem> items, double expectedMs) {
 }
--- /dev/null
+++ b/core/src/main/java/org/fulmargap/batch/WorkItemGroup.java
@@ -0,0 +1,71 @@
+package org.fulmargap.batch;
+
+import java.util.ArrayList;
+import java.util.List;
+
+import org.fulmargap.placement.Endpoint;
+
+/**
+ * The work items of one stage of one request that wait. They share a call if they can: a
+ * request can't go on before the last of them is done, and the results of the others take
+ * up room meanwhile.
+ *
+ * @param items the work items, at least one
+ */
+record WorkItemGroup(List<WorkItem> items) {
+
+	/**
+	 * Gathers neighbouring work items of the same stage and request.
+	 * @param ordered the work items in the order of urgency
+	 * @return the groups in that order
+	 */
+	static List<WorkItemGroup> of(List<WorkItem> ordered) {
+		List<WorkItemGroup> groups = new ArrayList<>();
+		for (WorkItem item : ordered) {
+			WorkItemGroup last = (groups.isEmpty()) ? null : groups.get(groups.size() - 1);
+			if (last != null && last.includes(item)) {
+				last.items.add(item);
+			}
+			else {
+				groups.add(new WorkItemGroup(new ArrayList<>(List.of(item))));
+			}
+		}
+		return groups;
+	}
+
+	private boolean includes(WorkItem item) {
+		return first().stage() == item.stage() && first().attemptId().equals(item.attemptId());
+	}
+
+	WorkItem first() {
+		return this.items.get(0);
+	}
+
+	long resultBytes() {
+		return this.items.stream().mapToLong(WorkItem::resultBytes).sum();
+	}
+
+	boolean isNear(Endpoint endpoint) {
+		return first().isNear(endpoint.record().failureDomain());
+	}
+
+	/**
+	 * Returns the part of the group that one call can take at all.
+	 * @param maxItems the work items that a call takes
+	 * @param mostBytes the room for results of an empty endpoint in bytes
+	 * @return the first work items of the group, at least one
+	 */
+	WorkItemGroup atMost(int maxItems, long mostBytes) {
+		List<WorkItem> part = new ArrayList<>();
+		long bytes = 0;
+		for (WorkItem item : this.items) {
+			bytes += item.resultBytes();
+			if (!part.isEmpty() && (part.size() == maxItems || bytes > mostBytes)) {
+				break;
+			}
+			part.add(item);
+		}
+		return new WorkItemGroup(part);
+	}
+
+}
--- a/core/src/main/java/org/fulmargap/catalog/StageCapacity.java
+++ b/core/src/main/java/org/fulmargap/catalog/StageCapacity.java
@@ -7,10 +7,10 @@
  * @param queue the calls that may wait there
  * @param batch the highest number of pieces in a call
  * @param callMs the time of a call without pieces, in milliseconds
- * @param pieceMs the approximate time of a piece, in milliseconds
+ * @param itemMs the approximate time of a piece, in milliseconds
  * @param roomBytes the room for results in bytes
  * @param resultLifetimeMs how long a result is kept after its call, in milliseconds
  */
-public record StageCapacity(int slots, int queue, int batch, double callMs, double pieceMs, long roomBytes,
+public record StageCapacity(int slots, int queue, int batch, double callMs, double itemMs, long roomBytes,
 		long resultLifetimeMs) {
 }
--- a/core/src/test/java/org/fulmargap/batch/BatchFormerTests.java
+++ b/core/src/test/java/org/fulmargap/batch/BatchFormerTests.java
@@ -25,28 +25,28 @@
 
 	private final Endpoint far = Endpoints.ready("far", "b");
 
-	private long tickets;
+	private long itemIds;
 
-	private Piece piece(String request, int priority, long dueAtMs, long bytes, String domain) {
-		this.tickets++;
-		return new Piece(this.tickets, request, 0, 0, "key", List.of(), domain, priority, dueAtMs, FAR_MS, bytes);
+	private WorkItem item(String request, int priority, long dueAtMs, long bytes, String domain) {
+		this.itemIds++;
+		return new WorkItem(this.itemIds, request, 0, 0, "key", List.of(), domain, priority, dueAtMs, FAR_MS, bytes);
 	}
 
-	private Piece add(String request, int priority, long dueAtMs) {
-		Piece piece = piece(request, priority, dueAtMs, 10, "");
-		this.former.add(piece);
-		return piece;
+	private WorkItem add(String request, int priority, long dueAtMs) {
+		WorkItem item = item(request, priority, dueAtMs, 10, "");
+		this.former.add(item);
+		return item;
 	}
 
 	@Nested
 	class Sharing {
 
 		@Test
-		void piecesOfSeveralRequestsShareACall() {
+		void itemsOfSeveralRequestsShareACall() {
 			add("one", 0, 1_000);
 			add("two", 0, 1_100);
 			StageCall call = BatchFormerTests.this.former.next(List.of(BatchFormerTests.this.near), 0).orElseThrow();
-			assertThat(call.pieces()).extracting(Piece::attemptId).containsExactly("one", "two");
+			assertThat(call.items()).extracting(WorkItem::attemptId).containsExactly("one", "two");
 			assertThat(call.expectedMs()).isEqualTo(220);
 		}
 
@@ -62,12 +62,12 @@
 		}
 
 		@Test
-		void aCallHoldsNoMorePiecesThanTheEndpointTakes() {
+		void aCallHoldsNoMoreItemsThanTheEndpointTakes() {
 			for (int i = 0; i < 6; i++) {
 				add("request" + i, 0, 1_000);
 			}
 			StageCall call = BatchFormerTests.this.former.next(List.of(BatchFormerTests.this.near), 0).orElseThrow();
-			assertThat(call.pieces()).hasSize(4);
+			assertThat(call.items()).hasSize(4);
 			assertThat(BatchFormerTests.this.former.waitingCount()).isEqualTo(2);
 		}
 
@@ -76,9 +76,9 @@
 	@Nested
 	class WholeRequests {
 
-		private void addAll(String request, long dueAtMs, int pieces, String domain) {
-			for (int i = 0; i < pieces; i++) {
-				BatchFormerTests.this.former.add(piece(request, 0, dueAtMs, 10, domain));
+		private void addAll(String request, long dueAtMs, int items, String domain) {
+			for (int i = 0; i < items; i++) {
+				BatchFormerTests.this.former.add(item(request, 0, dueAtMs, 10, domain));
 			}
 		}
 
@@ -92,7 +92,7 @@
 			addAll("two", 1_010, 2, "");
 			addAll("three", 1_020, 1, "");
 			StageCall call = next(BatchFormerTests.this.near);
-			assertThat(call.pieces()).extracting(Piece::attemptId).containsExactly("one", "one", "one", "three");
+			assertThat(call.items()).extracting(WorkItem::attemptId).containsExactly("one", "one", "one", "three");
 		}
 
 		@Test
@@ -101,13 +101,13 @@
 			addAll("two", 1_010, 3, "");
 			addAll("three", 1_020, 3, "");
 			StageCall call = next(BatchFormerTests.this.near);
-			assertThat(call.pieces()).extracting(Piece::attemptId).containsExactly("one", "one", "one", "two");
+			assertThat(call.items()).extracting(WorkItem::attemptId).containsExactly("one", "one", "one", "two");
 		}
 
 		@Test
 		void areSplitWhenOneCallCannotTakeThem() {
 			addAll("large", 1_000, 6, "");
-			assertThat(next(BatchFormerTests.this.near).pieces()).hasSize(4);
+			assertThat(next(BatchFormerTests.this.near).items()).hasSize(4);
 		}
 
 		@Test
@@ -143,25 +143,25 @@
 			}
 			add("urgent", 0, 1_200);
 			StageCall call = BatchFormerTests.this.former.next(List.of(BatchFormerTests.this.near), 0).orElseThrow();
-			assertThat(call.pieces().get(0).attemptId()).isEqualTo("urgent");
+			assertThat(call.items().get(0).attemptId()).isEqualTo("urgent");
 		}
 
 		@Test
-		void piecesThatAreLateWaitBehindThoseThatCanBeInTime() {
+		void itemsThatAreLateWaitBehindThoseThatCanBeInTime() {
 			for (int i = 0; i < 4; i++) {
 				add("late" + i, 0, 100);
 			}
 			add("intime", 2, 900);
 			BatchFormerTests.this.former.expire(1, 0);
 			StageCall call = BatchFormerTests.this.former.next(List.of(BatchFormerTests.this.near), 0).orElseThrow();
-			assertThat(call.pieces().get(0).attemptId()).isEqualTo("intime");
-			assertThat(call.pieces()).hasSize(4);
+			assertThat(call.items().get(0).attemptId()).isEqualTo("intime");
+			assertThat(call.items()).hasSize(4);
 		}
 
 		@Test
-		void piecesThatNobodyCanUseAnyMoreAreRemoved() {
-			Piece piece = add("one", 0, 1_000);
-			assertThat(BatchFormerTests.this.former.expire(1, FAR_MS - 100)).containsExactly(piece);
+		void itemsThatNobodyCanUseAnyMoreAreRemoved() {
+			WorkItem item = add("one", 0, 1_000);
+			assertThat(BatchFormerTests.this.former.expire(1, FAR_MS - 100)).containsExactly(item);
 			assertThat(BatchFormerTests.this.former.waitingCount()).isZero();
 		}
 
@@ -173,11 +173,11 @@
 		// One endpoint does four pieces in 240 ms: 20 pieces before the last one take 1.2
 		// s.
 		@Test
-		void aPieceBehindMoreThanCanBeDoneInTimeIsRefusedAtOnce() {
+		void anItemBehindMoreThanCanBeDoneInTimeIsRefusedAtOnce() {
 			for (int i = 0; i < 20; i++) {
 				add("before" + i, 0, 50_000);
 			}
-			Piece hopeless = new Piece(99, "hopeless", 0, 0, "key", List.of(), "", 2, 50_100, 1_000, 10);
+			WorkItem hopeless = new WorkItem(99, "hopeless", 0, 0, "key", List.of(), "", 2, 50_100, 1_000, 10);
 			BatchFormerTests.this.former.add(hopeless);
 			assertThat(BatchFormerTests.this.former.expire(1, 0)).containsExactly(hopeless);
 		}
@@ -187,7 +187,8 @@
 			for (int i = 0; i < 20; i++) {
 				add("before" + i, 0, 50_000);
 			}
-			BatchFormerTests.this.former.add(new Piece(99, "last", 0, 0, "key", List.of(), "", 2, 50_100, 1_000, 10));
+			BatchFormerTests.this.former
+				.add(new WorkItem(99, "last", 0, 0, "key", List.of(), "", 2, 50_100, 1_000, 10));
 			assertThat(BatchFormerTests.this.former.expire(3, 0)).isEmpty();
 		}
 
@@ -199,11 +200,11 @@
 		@Test
 		void resultsTakeUpRoomUntilTheyAreReleased() {
 			List<Endpoint> endpoints = List.of(BatchFormerTests.this.near);
-			BatchFormerTests.this.former.add(piece("one", 0, 1_000, 900, ""));
+			BatchFormerTests.this.former.add(item("one", 0, 1_000, 900, ""));
 			StageCall call = BatchFormerTests.this.former.next(endpoints, 0).orElseThrow();
 			BatchFormerTests.this.former.ended(call);
 			BatchFormerTests.this.former.hold(BatchFormerTests.this.near, "handle", 900, 0);
-			BatchFormerTests.this.former.add(piece("two", 0, 1_000, 200, ""));
+			BatchFormerTests.this.former.add(item("two", 0, 1_000, 200, ""));
 			assertThat(BatchFormerTests.this.former.next(endpoints, 0)).isEmpty();
 			BatchFormerTests.this.former.release("near", "handle");
 			assertThat(BatchFormerTests.this.former.next(endpoints, 0)).isPresent();
@@ -215,7 +216,7 @@
 			BatchFormerTests.this.former.hold(BatchFormerTests.this.near, "unread", 300, 0);
 			BatchFormerTests.this.former.spare("read");
 			assertThat(BatchFormerTests.this.former.reclaim(0)).isEmpty();
-			BatchFormerTests.this.former.add(piece("two", 0, 1_000, 200, ""));
+			BatchFormerTests.this.former.add(item("two", 0, 1_000, 200, ""));
 			assertThat(BatchFormerTests.this.former.reclaim(0)).containsExactly("read");
 			assertThat(BatchFormerTests.this.former.reclaim(0)).isEmpty();
 		}
@@ -225,7 +226,7 @@
 			List<Endpoint> endpoints = List.of(BatchFormerTests.this.near);
 			BatchFormerTests.this.former.hold(BatchFormerTests.this.near, "own", 200, 0);
 			BatchFormerTests.this.former.full(BatchFormerTests.this.near, 0);
-			BatchFormerTests.this.former.add(piece("one", 0, 9_000, 200, ""));
+			BatchFormerTests.this.former.add(item("one", 0, 9_000, 200, ""));
 			assertThat(BatchFormerTests.this.former.next(endpoints, 0)).isEmpty();
 			assertThat(BatchFormerTests.this.former.next(endpoints, 400)).isEmpty();
 			assertThat(BatchFormerTests.this.former.next(endpoints, 2_000)).isPresent();
@@ -236,7 +237,7 @@
 			List<Endpoint> endpoints = List.of(BatchFormerTests.this.near);
 			BatchFormerTests.this.former.hold(BatchFormerTests.this.near, "own", 200, 0);
 			BatchFormerTests.this.former.full(BatchFormerTests.this.near, 0);
-			BatchFormerTests.this.former.add(piece("one", 0, 9_000, 200, ""));
+			BatchFormerTests.this.former.add(item("one", 0, 9_000, 200, ""));
 			BatchFormerTests.this.former.release("near", "foreign");
 			assertThat(BatchFormerTests.this.former.next(endpoints, 0)).isPresent();
 		}
@@ -244,7 +245,7 @@
 		@Test
 		void resultsExpire() {
 			BatchFormerTests.this.former.hold(BatchFormerTests.this.near, "handle", 1_000, 0);
-			BatchFormerTests.this.former.add(piece("two", 0, 9_000, 200, ""));
+			BatchFormerTests.this.former.add(item("two", 0, 9_000, 200, ""));
 			assertThat(BatchFormerTests.this.former.next(List.of(BatchFormerTests.this.near), 3_999)).isEmpty();
 			assertThat(BatchFormerTests.this.former.next(List.of(BatchFormerTests.this.near), 4_000)).isPresent();
 		}
@@ -256,19 +257,19 @@
 
 		@Test
 		void theEndpointBesideTheInputsIsChosen() {
-			BatchFormerTests.this.former.add(piece("one", 0, 1_000, 10, "b"));
+			BatchFormerTests.this.former.add(item("one", 0, 1_000, 10, "b"));
 			List<Endpoint> endpoints = List.of(BatchFormerTests.this.near, BatchFormerTests.this.far);
 			assertThat(BatchFormerTests.this.former.next(endpoints, 0).orElseThrow().endpoint())
 				.isSameAs(BatchFormerTests.this.far);
 		}
 
 		@Test
-		void piecesWithInputsElsewhereFillTheCallUp() {
-			BatchFormerTests.this.former.add(piece("first", 0, 1_000, 10, "a"));
-			BatchFormerTests.this.former.add(piece("second", 0, 1_010, 10, "b"));
-			BatchFormerTests.this.former.add(piece("third", 0, 1_020, 10, "a"));
+		void itemsWithInputsElsewhereFillTheCallUp() {
+			BatchFormerTests.this.former.add(item("first", 0, 1_000, 10, "a"));
+			BatchFormerTests.this.former.add(item("second", 0, 1_010, 10, "b"));
+			BatchFormerTests.this.former.add(item("third", 0, 1_020, 10, "a"));
 			StageCall call = BatchFormerTests.this.former.next(List.of(BatchFormerTests.this.near), 0).orElseThrow();
-			assertThat(call.pieces()).extracting(Piece::attemptId).containsExactly("first", "third", "second");
+			assertThat(call.items()).extracting(WorkItem::attemptId).containsExactly("first", "third", "second");
 		}
 
 	}
--- a/core/src/test/java/org/fulmargap/batch/CommittedWorkTests.java
+++ b/core/src/test/java/org/fulmargap/batch/CommittedWorkTests.java
@@ -16,14 +16,14 @@
 	private final CommittedWork work = new CommittedWork();
 
 	@Test
-	void piecesOfAllVmsGoBeforeANewRequest() {
+	void itemsOfAllVmsGoBeforeANewRequest() {
 		this.work.add("service", 0, 5);
 		this.work.reported("peer", Map.of("service", new int[] { 1, 2, 0, 0 }), 0);
 		assertThat(this.work.before("service", 1, 10)).isEqualTo(8);
 	}
 
 	@Test
-	void lessUrgentPiecesDoNot() {
+	void lessUrgentItemsDoNot() {
 		this.work.add("service", 2, 5);
 		assertThat(this.work.before("service", 1, 0)).isZero();
 		assertThat(this.work.before("service", 9, 0)).isEqualTo(5);
@@ -36,7 +36,7 @@
 	}
 
 	@Test
-	void finishedPiecesNoLongerCount() {
+	void finishedItemsNoLongerCount() {
 		this.work.add("service", 0, 5);
 		this.work.remove("service", 0, 5);
 		assertThat(this.work.before("service", 0, 0)).isZero();
--- a/core/src/test/java/org/fulmargap/batch/PipelineLoad.java
+++ b/core/src/test/java/org/fulmargap/batch/PipelineLoad.java
@@ -62,9 +62,9 @@
 
 	private int inTime;
 
-	private long pieces;
+	private long items;
 
-	private long remotePieces;
+	private long remoteItems;
 
 	private PipelineLoad(boolean sparing, long heartbeatMs, long playMs, long objectiveMs) {
 		this.sparing = sparing;
@@ -108,8 +108,8 @@
 		return load;
 	}
 
-	private void add(String name, StageCapacity capacity, int endpoints, int piecesPerRequest, long resultBytes) {
-		this.stages.add(new Stage(name, capacity, endpoints, piecesPerRequest, resultBytes));
+	private void add(String name, StageCapacity capacity, int endpoints, int itemsPerRequest, long resultBytes) {
+		this.stages.add(new Stage(name, capacity, endpoints, itemsPerRequest, resultBytes));
 	}
 
 	/**
@@ -140,7 +140,7 @@
 	}
 
 	double remoteShare() {
-		return this.remotePieces / (double) this.pieces;
+		return this.remoteItems / (double) this.items;
 	}
 
 	private void after(double delayMs, Runnable action) {
@@ -188,17 +188,17 @@
 
 		private final List<Endpoint> endpoints = new ArrayList<>();
 
-		private final int piecesPerRequest;
+		private final int itemsPerRequest;
 
 		private final long resultBytes;
 
 		private final Map<String, Request> requests = new HashMap<>();
 
-		private Stage(String name, StageCapacity capacity, int endpointCount, int piecesPerRequest, long resultBytes) {
+		private Stage(String name, StageCapacity capacity, int endpointCount, int itemsPerRequest, long resultBytes) {
 			this.name = name;
 			this.capacity = capacity;
 			this.former = new BatchFormer(capacity);
-			this.piecesPerRequest = piecesPerRequest;
+			this.itemsPerRequest = itemsPerRequest;
 			this.resultBytes = resultBytes;
 			for (int i = 0; i < endpointCount; i++) {
 				this.endpoints.add(Endpoints.ready(name + i, DOMAINS[i]));
@@ -207,7 +207,7 @@
 
 		private void pump() {
 			long now = (long) PipelineLoad.this.nowMs;
-			for (Piece expired : this.former.expire(this.endpoints.size(), now)) {
+			for (WorkItem expired : this.former.expire(this.endpoints.size(), now)) {
 				this.requests.get(expired.attemptId()).failed = true;
 			}
 			var call = this.former.next(this.endpoints, now);
@@ -219,22 +219,22 @@
 		}
 
 		private void start(StageCall call) {
-			after(READ_INPUTS_MS, () -> call.pieces().forEach((piece) -> request(piece).inputsRead(this)));
+			after(READ_INPUTS_MS, () -> call.items().forEach((item) -> request(item).inputsRead(this)));
 			after(call.expectedMs(), () -> end(call));
-			PipelineLoad.this.pieces += call.pieces().size();
-			PipelineLoad.this.remotePieces += call.pieces().size() - this.former.nearCount(call);
+			PipelineLoad.this.items += call.items().size();
+			PipelineLoad.this.remoteItems += call.items().size() - this.former.nearCount(call);
 		}
 
-		private Request request(Piece piece) {
-			return this.requests.get(piece.attemptId());
+		private Request request(WorkItem item) {
+			return this.requests.get(item.attemptId());
 		}
 
 		private void end(StageCall call) {
 			this.former.ended(call);
-			for (Piece piece : call.pieces()) {
-				String handle = call.endpoint() + "/" + this.name + piece.ticket();
+			for (WorkItem item : call.items()) {
+				String handle = call.endpoint() + "/" + this.name + item.itemId();
 				this.former.hold(call.endpoint(), handle, this.resultBytes, (long) PipelineLoad.this.nowMs);
-				request(piece).done(this, handle, call.endpoint().record().failureDomain());
+				request(item).done(this, handle, call.endpoint().record().failureDomain());
 			}
 			pump();
 		}
@@ -289,7 +289,7 @@
 				PipelineLoad.this.refused++;
 				return;
 			}
-			PipelineLoad.this.stages.forEach((stage) -> this.vm.add(stage.name, 0, stage.piecesPerRequest));
+			PipelineLoad.this.stages.forEach((stage) -> this.vm.add(stage.name, 0, stage.itemsPerRequest));
 			nextStage();
 		}
 
@@ -306,9 +306,9 @@
 			stage.requests.put(this.id, this);
 			long behindMs = ENGINE_MS + (PipelineLoad.this.stages.size() - 1 - this.stageIndex) * STAGE_MS;
 			long dueAtMs = (long) this.arrivedAtMs + PipelineLoad.this.objectiveMs - behindMs;
-			for (int i = 0; i < stage.piecesPerRequest; i++) {
+			for (int i = 0; i < stage.itemsPerRequest; i++) {
 				PipelineLoad.this.numbers++;
-				stage.former.add(new Piece(PipelineLoad.this.numbers, this.id, this.stageIndex, i, "", this.inputs,
+				stage.former.add(new WorkItem(PipelineLoad.this.numbers, this.id, this.stageIndex, i, "", this.inputs,
 						(this.stageIndex == 2) ? this.domain : "", 0, dueAtMs,
 						(long) this.arrivedAtMs + PATIENCE_MS - behindMs, stage.resultBytes));
 			}
@@ -317,7 +317,7 @@
 
 		private void inputsRead(Stage reader) {
 			this.readers++;
-			if (PipelineLoad.this.sparing && this.readers == reader.piecesPerRequest && this.stageIndex > 0) {
+			if (PipelineLoad.this.sparing && this.readers == reader.itemsPerRequest && this.stageIndex > 0) {
 				this.inputs.forEach(PipelineLoad.this.stages.get(this.stageIndex - 1).former::spare);
 			}
 		}
@@ -326,7 +326,7 @@
 			this.vm.remove(stage.name, 0, 1);
 			this.results.add(handle);
 			this.domain = failureDomain;
-			if (this.results.size() == stage.piecesPerRequest) {
+			if (this.results.size() == stage.itemsPerRequest) {
 				if (this.stageIndex > 0) {
 					this.inputs.forEach(PipelineLoad.this.stages.get(this.stageIndex - 1)::free);
 				}
--- a/core/src/test/java/org/fulmargap/batch/StageLoadTests.java
+++ b/core/src/test/java/org/fulmargap/batch/StageLoadTests.java
@@ -26,7 +26,7 @@
 
 	private static final int ENDPOINTS = 4;
 
-	private static final int PIECES = 6;
+	private static final int WORK_ITEMS = 6;
 
 	private static final long PLAY_MS = 30_000;
 
@@ -73,7 +73,7 @@
 		Map<String, Request> requests = new HashMap<>();
 		Result result = new Result();
 		double nextArrivalMs = 0;
-		long ticket = 0;
+		long itemId = 0;
 		double nowMs = 0;
 		while (nowMs < PLAY_MS) {
 			nowMs = (running.isEmpty()) ? nextArrivalMs : Math.min(nextArrivalMs, running.peek().endsAtMs());
@@ -82,9 +82,9 @@
 				Request request = new Request("request" + requests.size(), priority, (long) nowMs);
 				requests.put(request.id, request);
 				result.arrived(request);
-				for (int i = 0; i < PIECES; i++) {
-					ticket++;
-					former.add(new Piece(ticket, request.id, 1, i, "key", List.of(), "", priority,
+				for (int i = 0; i < WORK_ITEMS; i++) {
+					itemId++;
+					former.add(new WorkItem(itemId, request.id, 1, i, "key", List.of(), "", priority,
 							(long) nowMs + DUE_MS, (long) nowMs + EXPIRES_MS, 60_000));
 				}
 				nextArrivalMs = nowMs - Math.log(1 - random.nextDouble()) * 1_000 / requestsPerSecond;
@@ -92,8 +92,8 @@
 			while (!running.isEmpty() && running.peek().endsAtMs() <= nowMs) {
 				Running done = running.poll();
 				former.ended(done.call());
-				for (Piece piece : done.call().pieces()) {
-					result.done(requests.get(piece.attemptId()), (long) nowMs);
+				for (WorkItem item : done.call().items()) {
+					result.done(requests.get(item.attemptId()), (long) nowMs);
 				}
 			}
 			former.expire(ENDPOINTS, (long) nowMs);
@@ -110,16 +110,16 @@
 			if (alone) {
 				next = firstRequestOnly(former, next);
 			}
-			running.add(new Running(next, nowMs + former.expectedMs(next.pieces().size())));
+			running.add(new Running(next, nowMs + former.expectedMs(next.items().size())));
 			call = former.next(endpoints, (long) nowMs);
 		}
 	}
 
 	// The naive way: a call holds the pieces of one request.
 	private static StageCall firstRequestOnly(BatchFormer former, StageCall call) {
-		String id = call.pieces().get(0).attemptId();
-		List<Piece> own = call.pieces().stream().filter((piece) -> piece.attemptId().equals(id)).toList();
-		call.pieces().stream().filter((piece) -> !own.contains(piece)).forEach(former::add);
+		String id = call.items().get(0).attemptId();
+		List<WorkItem> own = call.items().stream().filter((item) -> item.attemptId().equals(id)).toList();
+		call.items().stream().filter((item) -> !own.contains(item)).forEach(former::add);
 		return new StageCall(call.endpoint(), own, call.expectedMs());
 	}
 
@@ -134,7 +134,7 @@
 
 		private final long arrivedAtMs;
 
-		private int left = PIECES;
+		private int left = WORK_ITEMS;
 
 		private Request(String id, int priority, long arrivedAtMs) {
 			this.id = id;
--- a/entry/src/main/java/org/fulmargap/entry/EntryVm.java
+++ b/entry/src/main/java/org/fulmargap/entry/EntryVm.java
@@ -153,7 +153,7 @@
 		boolean busy = true;
 		while (busy && this.clockMs.getAsLong() - beganAtMs < limitMs) {
 			Thread.sleep(POLL_MS);
-			busy = busyConnections() > 0 || pendingPieces() > 0;
+			busy = busyConnections() > 0 || pendingItems() > 0;
 		}
 		EventLog.state("stopped")
 			.with("vm", this.settings.vm())
@@ -162,7 +162,7 @@
 			.write();
 	}
 
-	private int pendingPieces() throws InterruptedException {
+	private int pendingItems() throws InterruptedException {
 		return this.loop.submit(this.desk::pendingCount).awaitUninterruptibly().getNow();
 	}
 
@@ -179,8 +179,8 @@
 		else if (message instanceof PeerMessage.PromptSent sent) {
 			this.view.directory().find(sent.endpoint()).ifPresent((endpoint) -> promptSent(endpoint, sent));
 		}
-		else if (message instanceof PeerMessage.Pieces pieces) {
-			this.stages.receive(peer, pieces);
+		else if (message instanceof PeerMessage.WorkItems items) {
+			this.stages.receive(peer, items);
 		}
 		else if (message instanceof PeerMessage.Outcomes outcomes) {
 			this.stages.receive(outcomes);
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerCodec.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerCodec.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 
-import org.fulmargap.batch.Piece;
-import org.fulmargap.entry.stage.PieceOutcome;
+import org.fulmargap.batch.WorkItem;
+import org.fulmargap.entry.stage.WorkItemOutcome;
 import org.fulmargap.placement.Prompt;
 import org.fulmargap.placement.PromptPart;
 import org.fulmargap.platform.KeyedRecord;
@@ -63,10 +63,10 @@
 			out.packInt(Type.PROMPT_SENT.ordinal()).packString(sent.endpoint());
 			writePrompt(out, sent.prompt());
 		}
-		else if (message instanceof PeerMessage.Pieces pieces) {
-			out.packInt(Type.PIECES.ordinal()).packString(pieces.service()).packArrayHeader(pieces.pieces().size());
-			for (Piece piece : pieces.pieces()) {
-				writePiece(out, piece, nowMs);
+		else if (message instanceof PeerMessage.WorkItems items) {
+			out.packInt(Type.WORK_ITEMS.ordinal()).packString(items.service()).packArrayHeader(items.items().size());
+			for (WorkItem item : items.items()) {
+				writeWorkItem(out, item, nowMs);
 			}
 		}
 		else {
@@ -77,15 +77,15 @@
 	private static void writeShort(MessageBufferPacker out, PeerMessage message) throws IOException {
 		if (message instanceof PeerMessage.Outcomes outcomes) {
 			out.packInt(Type.OUTCOMES.ordinal()).packArrayHeader(outcomes.outcomes().size());
-			for (PieceOutcome outcome : outcomes.outcomes()) {
-				out.packLong(outcome.ticket())
+			for (WorkItemOutcome outcome : outcomes.outcomes()) {
+				out.packLong(outcome.itemId())
 					.packInt(outcome.status().ordinal())
 					.packString(outcome.handle())
 					.packString(outcome.failureDomain());
 			}
 		}
 		else if (message instanceof PeerMessage.Withdrawal withdrawal) {
-			out.packInt(Type.WITHDRAWAL.ordinal()).packLong(withdrawal.ticket());
+			out.packInt(Type.WITHDRAWAL.ordinal()).packLong(withdrawal.itemId());
 		}
 		else if (message instanceof PeerMessage.Release release) {
 			out.packInt(Type.RELEASE.ordinal()).packString(release.service()).packBoolean(release.spare());
@@ -125,8 +125,8 @@
 		out.packMapHeader(committed.size());
 		for (Map.Entry<String, int[]> service : committed.entrySet()) {
 			out.packString(service.getKey()).packArrayHeader(service.getValue().length);
-			for (int pieces : service.getValue()) {
-				out.packInt(pieces);
+			for (int items : service.getValue()) {
+				out.packInt(items);
 			}
 		}
 	}
@@ -190,15 +190,15 @@
 		}
 	}
 
-	private static void writePiece(MessageBufferPacker out, Piece piece, long nowMs) throws IOException {
-		out.packLong(piece.ticket())
-			.packString(piece.attemptId())
-			.packInt(piece.stage())
-			.packInt(piece.segment())
-			.packString(piece.chunkKey());
-		writeTexts(out, piece.inputs());
-		out.packString(piece.inputDomain()).packInt(piece.priority());
-		out.packLong(piece.dueAtMs() - nowMs).packLong(piece.expiresAtMs() - nowMs).packLong(piece.resultBytes());
+	private static void writeWorkItem(MessageBufferPacker out, WorkItem item, long nowMs) throws IOException {
+		out.packLong(item.itemId())
+			.packString(item.attemptId())
+			.packInt(item.stage())
+			.packInt(item.index())
+			.packString(item.inputKey());
+		writeTexts(out, item.inputs());
+		out.packString(item.inputDomain()).packInt(item.priority());
+		out.packLong(item.dueAtMs() - nowMs).packLong(item.expiresAtMs() - nowMs).packLong(item.resultBytes());
 	}
 
 	private static void writeTexts(MessageBufferPacker out, List<String> texts) throws IOException {
@@ -249,27 +249,27 @@
 		return new Prompt(promptTokens, maxOutputTokens, parts);
 	}
 
-	private static PeerMessage.Pieces readPieces(MessageUnpacker in, long nowMs) throws IOException {
+	private static PeerMessage.WorkItems readWorkItems(MessageUnpacker in, long nowMs) throws IOException {
 		String service = in.unpackString();
-		List<Piece> pieces = new ArrayList<>();
+		List<WorkItem> items = new ArrayList<>();
 		for (int i = readSize(in); i > 0; i--) {
-			pieces.add(new Piece(in.unpackLong(), in.unpackString(), in.unpackInt(), in.unpackInt(), in.unpackString(),
-					readTexts(in), in.unpackString(), in.unpackInt(), nowMs + in.unpackLong(), nowMs + in.unpackLong(),
-					in.unpackLong()));
+			items.add(new WorkItem(in.unpackLong(), in.unpackString(), in.unpackInt(), in.unpackInt(),
+					in.unpackString(), readTexts(in), in.unpackString(), in.unpackInt(), nowMs + in.unpackLong(),
+					nowMs + in.unpackLong(), in.unpackLong()));
 		}
-		return new PeerMessage.Pieces(service, pieces);
+		return new PeerMessage.WorkItems(service, items);
 	}
 
 	private static PeerMessage.Outcomes readOutcomes(MessageUnpacker in) throws IOException {
-		List<PieceOutcome> outcomes = new ArrayList<>();
+		List<WorkItemOutcome> outcomes = new ArrayList<>();
 		for (int i = readSize(in); i > 0; i--) {
-			outcomes.add(new PieceOutcome(in.unpackLong(), readStatus(in), in.unpackString(), in.unpackString()));
+			outcomes.add(new WorkItemOutcome(in.unpackLong(), readStatus(in), in.unpackString(), in.unpackString()));
 		}
 		return new PeerMessage.Outcomes(outcomes);
 	}
 
-	private static PieceOutcome.Status readStatus(MessageUnpacker in) throws IOException {
-		PieceOutcome.Status[] known = PieceOutcome.Status.values();
+	private static WorkItemOutcome.Status readStatus(MessageUnpacker in) throws IOException {
+		WorkItemOutcome.Status[] known = WorkItemOutcome.Status.values();
 		int ordinal = in.unpackInt();
 		if (ordinal < 0 || ordinal >= known.length) {
 			throw new IOException("a status of number " + ordinal);
@@ -327,10 +327,10 @@
 			}
 		},
 
-		PIECES {
+		WORK_ITEMS {
 			@Override
 			PeerMessage read(MessageUnpacker in, long nowMs) throws IOException {
-				return readPieces(in, nowMs);
+				return readWorkItems(in, nowMs);
 			}
 		},
 
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerMessage.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerMessage.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Map;
 
-import org.fulmargap.batch.Piece;
-import org.fulmargap.entry.stage.PieceOutcome;
+import org.fulmargap.batch.WorkItem;
+import org.fulmargap.entry.stage.WorkItemOutcome;
 import org.fulmargap.placement.Prompt;
 import org.fulmargap.platform.StorePage;
 import org.fulmargap.platform.StoreTopic;
@@ -82,9 +82,9 @@
 	 * Pieces for the VM that is in charge of a service.
 	 *
 	 * @param service the service
-	 * @param pieces the pieces, with times in the receiver's clock
+	 * @param items the pieces, with times in the receiver's clock
 	 */
-	record Pieces(String service, List<Piece> pieces) implements PeerMessage {
+	record WorkItems(String service, List<WorkItem> items) implements PeerMessage {
 	}
 
 	/**
@@ -92,15 +92,15 @@
 	 *
 	 * @param outcomes the outcomes
 	 */
-	record Outcomes(List<PieceOutcome> outcomes) implements PeerMessage {
+	record Outcomes(List<WorkItemOutcome> outcomes) implements PeerMessage {
 	}
 
 	/**
 	 * A piece is no longer needed.
 	 *
-	 * @param ticket the number of the piece
+	 * @param itemId the number of the piece
 	 */
-	record Withdrawal(long ticket) implements PeerMessage {
+	record Withdrawal(long itemId) implements PeerMessage {
 	}
 
 	/**
--- a/entry/src/main/java/org/fulmargap/entry/request/StageProgress.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/StageProgress.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 import org.fulmargap.catalog.StageSpec;
-import org.fulmargap.entry.stage.PieceOutcome;
+import org.fulmargap.entry.stage.WorkItemOutcome;
 
 /**
  * How far one stage of one request is. Confined to the event loop.
@@ -17,11 +17,11 @@
 
 	private final StageSpec spec;
 
-	private final PieceOutcome[] outcomes;
+	private final WorkItemOutcome[] outcomes;
 
 	private final boolean[] inputsRead;
 
-	private final Set<Long> tickets = new HashSet<>();
+	private final Set<Long> itemIds = new HashSet<>();
 
 	private int done;
 
@@ -36,12 +36,12 @@
 	/**
 	 * Creates the progress of a stage that has not begun.
 	 * @param spec the stage
-	 * @param pieceCount the number of its pieces; 0 if the request omits the stage
+	 * @param itemCount the number of its pieces; 0 if the request omits the stage
 	 */
-	StageProgress(StageSpec spec, int pieceCount) {
+	StageProgress(StageSpec spec, int itemCount) {
 		this.spec = spec;
-		this.outcomes = new PieceOutcome[pieceCount];
-		this.inputsRead = new boolean[pieceCount];
+		this.outcomes = new WorkItemOutcome[itemCount];
+		this.inputsRead = new boolean[itemCount];
 	}
 
 	StageSpec spec() {
@@ -52,7 +52,7 @@
 		return this.spec.service();
 	}
 
-	int pieceCount() {
+	int itemCount() {
 		return this.outcomes.length;
 	}
 
@@ -107,31 +107,31 @@
 		return missing;
 	}
 
-	void submitted(long ticket) {
-		this.tickets.add(ticket);
+	void submitted(long itemId) {
+		this.itemIds.add(itemId);
 	}
 
-	void ended(long ticket) {
-		this.tickets.remove(ticket);
+	void ended(long itemId) {
+		this.itemIds.remove(itemId);
 	}
 
 	/**
 	 * Takes the pieces that were submitted and have not ended.
 	 * @return the numbers of the pieces, which are forgotten here
 	 */
-	List<Long> takeTickets() {
-		List<Long> taken = List.copyOf(this.tickets);
-		this.tickets.clear();
+	List<Long> takeItemIds() {
+		List<Long> taken = List.copyOf(this.itemIds);
+		this.itemIds.clear();
 		return taken;
 	}
 
-	void inputsRead(int piece) {
-		this.inputsRead[piece] = true;
+	void inputsRead(int index) {
+		this.inputsRead[index] = true;
 	}
 
-	void done(int piece, PieceOutcome outcome) {
-		this.outcomes[piece] = outcome;
-		this.inputsRead[piece] = true;
+	void done(int index, WorkItemOutcome outcome) {
+		this.outcomes[index] = outcome;
+		this.inputsRead[index] = true;
 		this.done++;
 		this.committed--;
 	}
@@ -182,7 +182,7 @@
 	 * Returns the results.
 	 * @return the outcomes of the pieces that are done
 	 */
-	List<PieceOutcome> results() {
+	List<WorkItemOutcome> results() {
 		return Arrays.stream(this.outcomes).filter(Objects::nonNull).toList();
 	}
 
@@ -191,7 +191,7 @@
 	 * @return the names
 	 */
 	List<String> handles() {
-		return results().stream().map(PieceOutcome::handle).toList();
+		return results().stream().map(WorkItemOutcome::handle).toList();
 	}
 
 	boolean isReleased() {
--- a/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
@@ -9,15 +9,15 @@
 import java.util.stream.Stream;
 
 import org.fulmargap.batch.CommittedWork;
-import org.fulmargap.batch.Piece;
 import org.fulmargap.batch.PipelineAdmission;
 import org.fulmargap.batch.PipelineEstimate;
+import org.fulmargap.batch.WorkItem;
 import org.fulmargap.catalog.Catalog;
 import org.fulmargap.catalog.Route;
 import org.fulmargap.catalog.ServiceSpec;
 import org.fulmargap.entry.EventLog;
-import org.fulmargap.entry.stage.PieceOutcome;
 import org.fulmargap.entry.stage.StageClient;
+import org.fulmargap.entry.stage.WorkItemOutcome;
 import org.fulmargap.placement.Placement;
 import org.fulmargap.platform.CallerRequest;
 
@@ -96,7 +96,7 @@
 		this.expiresAtMs = expiresAtMs;
 		this.listener = listener;
 		for (int i = 0; i < route.stages().size(); i++) {
-			this.stages.add(new StageProgress(route.stages().get(i), request.pieceCount(i)));
+			this.stages.add(new StageProgress(route.stages().get(i), request.itemCount(i)));
 		}
 	}
 
@@ -166,15 +166,15 @@
 	private void submit(int index, StageProgress stage) {
 		List<String> inputs = new ArrayList<>();
 		stage.spec().after().forEach((before) -> inputs.addAll(this.stages.get(before).handles()));
-		String key = (stage.spec().after().isEmpty()) ? this.request.chunkKey() : "";
+		String key = (stage.spec().after().isEmpty()) ? this.request.inputKey() : "";
 		String inputDomain = inputDomain(stage);
 		long behindMs = FIRST_EVENT_MS + this.promptMs + followers(index) * STAGE_MS;
-		for (int segment : stage.missing()) {
-			long ticket = this.client.newTicket();
-			stage.submitted(ticket);
-			Piece piece = new Piece(ticket, this.request.attemptId(), index, segment, key, inputs, inputDomain,
+		for (int itemIndex : stage.missing()) {
+			long itemId = this.client.newItemId();
+			stage.submitted(itemId);
+			WorkItem item = new WorkItem(itemId, this.request.attemptId(), index, itemIndex, key, inputs, inputDomain,
 					this.priority, this.dueAtMs - behindMs, this.expiresAtMs - behindMs, stage.spec().resultBytes());
-			this.client.submit(stage.service(), piece, (outcome) -> finished(stage, segment, outcome));
+			this.client.submit(stage.service(), item, (outcome) -> finished(stage, itemIndex, outcome));
 		}
 	}
 
@@ -189,7 +189,7 @@
 		}
 		Map<String, Integer> counts = new HashMap<>();
 		for (int before : stage.spec().after()) {
-			for (PieceOutcome outcome : this.stages.get(before).results()) {
+			for (WorkItemOutcome outcome : this.stages.get(before).results()) {
 				counts.merge(outcome.failureDomain(), 1, Integer::sum);
 			}
 		}
@@ -201,9 +201,9 @@
 		long bytes = 0;
 		for (int before : stage.spec().after()) {
 			StageProgress inputs = this.stages.get(before);
-			bytes += inputs.pieceCount() * inputs.spec().resultBytes();
+			bytes += inputs.itemCount() * inputs.spec().resultBytes();
 		}
-		return bytes * stage.pieceCount();
+		return bytes * stage.itemCount();
 	}
 
 	private long followers(int index) {
@@ -216,9 +216,9 @@
 		return most;
 	}
 
-	private void finished(StageProgress stage, int place, PieceOutcome outcome) {
+	private void finished(StageProgress stage, int place, WorkItemOutcome outcome) {
 		if (outcome.status().isLast()) {
-			stage.ended(outcome.ticket());
+			stage.ended(outcome.itemId());
 		}
 		if (this.over) {
 			if (outcome.isDone()) {
@@ -241,14 +241,14 @@
 		}
 	}
 
-	private void done(StageProgress stage, int place, PieceOutcome outcome) {
+	private void done(StageProgress stage, int place, WorkItemOutcome outcome) {
 		stage.done(place, outcome);
 		this.committed.remove(stage.service(), this.priority, 1);
 		if (stage.isDone()) {
 			EventLog.request("stage_done", this.request.attemptId())
 				.with("stage", this.stages.indexOf(stage))
 				.with("service", stage.service())
-				.with("pieces", stage.pieceCount())
+				.with("pieces", stage.itemCount())
 				.with("took_ms", this.clockMs.getAsLong() - stage.startedAtMs())
 				.write();
 			unneededInputs(stage).stream().filter((before) -> !isNeeded(before)).forEach(this::release);
@@ -276,7 +276,7 @@
 	}
 
 	private void rewind(StageProgress stage) {
-		stage.takeTickets().forEach(this.client::withdraw);
+		stage.takeItemIds().forEach(this.client::withdraw);
 		stage.rewind();
 		for (int index : stage.spec().after()) {
 			StageProgress before = this.stages.get(index);
@@ -341,7 +341,7 @@
 		List<Placement.Input> inputs = new ArrayList<>();
 		for (int index : this.route.finalStages()) {
 			StageProgress stage = this.stages.get(index);
-			for (PieceOutcome outcome : stage.results()) {
+			for (WorkItemOutcome outcome : stage.results()) {
 				inputs.add(new Placement.Input(outcome.failureDomain(), stage.spec().resultBytes()));
 			}
 		}
@@ -354,7 +354,7 @@
 	void close() {
 		this.over = true;
 		this.stages.forEach((stage) -> {
-			stage.takeTickets().forEach(this.client::withdraw);
+			stage.takeItemIds().forEach(this.client::withdraw);
 			this.committed.remove(stage.service(), this.priority, stage.takeCommitted());
 			release(stage);
 		});
--- a/entry/src/main/java/org/fulmargap/entry/stage/StageClient.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageClient.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 
 import io.netty.channel.EventLoop;
-import org.fulmargap.batch.Piece;
+import org.fulmargap.batch.WorkItem;
 import org.fulmargap.entry.EventLog;
 import org.fulmargap.entry.peer.PeerMessage;
 import org.fulmargap.entry.peer.PeerNetwork;
@@ -29,13 +29,13 @@
 
 	private final Map<Long, Submission> submissions = new HashMap<>();
 
-	private final Map<PeerTicket, Runnable> withdrawals = new HashMap<>();
+	private final Map<RemoteItem, Runnable> withdrawals = new HashMap<>();
 
-	private final Map<PeerService, List<Piece>> outgoing = new LinkedHashMap<>();
+	private final Map<PeerService, List<WorkItem>> outgoing = new LinkedHashMap<>();
 
-	private final Map<String, List<PieceOutcome>> outgoingOutcomes = new LinkedHashMap<>();
+	private final Map<String, List<WorkItemOutcome>> outgoingOutcomes = new LinkedHashMap<>();
 
-	private long lastTicket;
+	private long lastItemId;
 
 	private boolean flushPlanned;
 
@@ -55,31 +55,31 @@
 	 * Returns the number for the next piece.
 	 * @return the number
 	 */
-	public long newTicket() {
-		this.lastTicket++;
-		return this.lastTicket;
+	public long newItemId() {
+		this.lastItemId++;
+		return this.lastItemId;
 	}
 
 	/**
 	 * Has a piece done.
 	 * @param service the service of its stage
-	 * @param piece the piece, with a number from {@link #newTicket}
+	 * @param item the piece, with a number from {@link #newItemId}
 	 * @param outcome hears what becomes of it, unless it is withdrawn
 	 */
-	public void submit(String service, Piece piece, Consumer<PieceOutcome> outcome) {
-		Submission submission = new Submission(service, piece, outcome);
-		this.submissions.put(piece.ticket(), submission);
+	public void submit(String service, WorkItem item, Consumer<WorkItemOutcome> outcome) {
+		Submission submission = new Submission(service, item, outcome);
+		this.submissions.put(item.itemId(), submission);
 		dispatch(submission);
 	}
 
 	private void dispatch(Submission submission) {
 		submission.owner = this.peers.inCharge(submission.service);
 		if (submission.owner.equals(this.peers.ownName())) {
-			submission.withdrawal = this.desk.submit(submission.service, submission.piece, this::finished);
+			submission.withdrawal = this.desk.submit(submission.service, submission.item, this::finished);
 			return;
 		}
 		this.outgoing.computeIfAbsent(new PeerService(submission.owner, submission.service), (key) -> new ArrayList<>())
-			.add(submission.piece);
+			.add(submission.item);
 		flushSoon();
 	}
 
@@ -92,17 +92,17 @@
 
 	private void flush() {
 		this.flushPlanned = false;
-		Map<PeerService, List<Piece>> pieces = new LinkedHashMap<>(this.outgoing);
+		Map<PeerService, List<WorkItem>> items = new LinkedHashMap<>(this.outgoing);
 		this.outgoing.clear();
-		pieces.forEach((target, list) -> this.peers.send(target.peer, new PeerMessage.Pieces(target.service, list)));
-		Map<String, List<PieceOutcome>> outcomes = new LinkedHashMap<>(this.outgoingOutcomes);
+		items.forEach((target, list) -> this.peers.send(target.peer, new PeerMessage.WorkItems(target.service, list)));
+		Map<String, List<WorkItemOutcome>> outcomes = new LinkedHashMap<>(this.outgoingOutcomes);
 		this.outgoingOutcomes.clear();
 		outcomes.forEach((peer, list) -> this.peers.send(peer, new PeerMessage.Outcomes(list)));
 	}
 
-	private void finished(PieceOutcome outcome) {
-		Submission submission = (outcome.status().isLast()) ? this.submissions.remove(outcome.ticket())
-				: this.submissions.get(outcome.ticket());
+	private void finished(WorkItemOutcome outcome) {
+		Submission submission = (outcome.status().isLast()) ? this.submissions.remove(outcome.itemId())
+				: this.submissions.get(outcome.itemId());
 		if (submission != null) {
 			submission.outcome.accept(outcome);
 		}
@@ -110,10 +110,10 @@
 
 	/**
 	 * Withdraws a piece that nobody needs any more.
-	 * @param ticket the number of the piece
+	 * @param itemId the number of the piece
 	 */
-	public void withdraw(long ticket) {
-		Submission submission = this.submissions.remove(ticket);
+	public void withdraw(long itemId) {
+		Submission submission = this.submissions.remove(itemId);
 		if (submission == null) {
 			return;
 		}
@@ -121,7 +121,7 @@
 			submission.withdrawal.run();
 		}
 		else {
-			this.peers.send(submission.owner, new PeerMessage.Withdrawal(ticket));
+			this.peers.send(submission.owner, new PeerMessage.Withdrawal(itemId));
 		}
 	}
 
@@ -169,10 +169,10 @@
 	 * @param peer the name of the peer
 	 * @param message the pieces
 	 */
-	public void receive(String peer, PeerMessage.Pieces message) {
-		for (Piece piece : message.pieces()) {
-			PeerTicket key = new PeerTicket(peer, piece.ticket());
-			Runnable withdrawal = this.desk.submit(message.service(), piece, (outcome) -> {
+	public void receive(String peer, PeerMessage.WorkItems message) {
+		for (WorkItem item : message.items()) {
+			RemoteItem key = new RemoteItem(peer, item.itemId());
+			Runnable withdrawal = this.desk.submit(message.service(), item, (outcome) -> {
 				if (outcome.status().isLast()) {
 					this.withdrawals.remove(key);
 				}
@@ -189,7 +189,7 @@
 	 * @param message the withdrawal
 	 */
 	public void receive(String peer, PeerMessage.Withdrawal message) {
-		Runnable withdrawal = this.withdrawals.remove(new PeerTicket(peer, message.ticket()));
+		Runnable withdrawal = this.withdrawals.remove(new RemoteItem(peer, message.itemId()));
 		if (withdrawal != null) {
 			withdrawal.run();
 		}
@@ -201,7 +201,7 @@
 	 * @param message the results
 	 */
 	public void receive(PeerMessage.Outcomes message) {
-		for (PieceOutcome outcome : message.outcomes()) {
+		for (WorkItemOutcome outcome : message.outcomes()) {
 			finished(outcome);
 		}
 	}
@@ -220,7 +220,7 @@
 			EventLog.state("pieces_moved").with("peer", peer).with("pieces", lost.size()).write();
 		}
 		lost.forEach(this::dispatch);
-		List<PeerTicket> orphans = this.withdrawals.keySet().stream().filter((key) -> key.peer.equals(peer)).toList();
+		List<RemoteItem> orphans = this.withdrawals.keySet().stream().filter((key) -> key.peer.equals(peer)).toList();
 		orphans.forEach((key) -> this.withdrawals.remove(key).run());
 	}
 
@@ -228,23 +228,23 @@
 
 		private final String service;
 
-		private final Piece piece;
+		private final WorkItem item;
 
-		private final Consumer<PieceOutcome> outcome;
+		private final Consumer<WorkItemOutcome> outcome;
 
 		private String owner;
 
 		private Runnable withdrawal;
 
-		private Submission(String service, Piece piece, Consumer<PieceOutcome> outcome) {
+		private Submission(String service, WorkItem item, Consumer<WorkItemOutcome> outcome) {
 			this.service = service;
-			this.piece = piece;
+			this.item = item;
 			this.outcome = outcome;
 		}
 
 	}
 
-	private record PeerTicket(String peer, long ticket) {
+	private record RemoteItem(String peer, long itemId) {
 	}
 
 	private record PeerService(String peer, String service) {
--- a/entry/src/main/java/org/fulmargap/entry/stage/StageDesk.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageDesk.java
@@ -17,8 +17,8 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.util.concurrent.Future;
 import org.fulmargap.batch.BatchFormer;
-import org.fulmargap.batch.Piece;
 import org.fulmargap.batch.StageCall;
+import org.fulmargap.batch.WorkItem;
 import org.fulmargap.catalog.ServiceSpec;
 import org.fulmargap.entry.EntryMetrics;
 import org.fulmargap.entry.EventLog;
@@ -30,8 +30,8 @@
 import org.fulmargap.placement.RetryAllowance;
 import org.fulmargap.platform.EndpointAnswer;
 import org.fulmargap.platform.MalformedRecordException;
-import org.fulmargap.platform.PieceResult;
 import org.fulmargap.platform.StageCalls;
+import org.fulmargap.platform.WorkItemResult;
 
 /**
  * Makes the calls of the stage services that this VM is in charge of, with the pieces of
@@ -49,7 +49,7 @@
 	private static final long FULL_PAUSE_MS = 60;
 
 	/** The calls in which one piece may be. */
-	private static final int MAX_CALLS_PER_PIECE = 3;
+	private static final int MAX_CALLS_PER_ITEM = 3;
 
 	/** How often pieces that wait are looked at, in milliseconds. */
 	private static final long TICK_MS = 50;
@@ -111,24 +111,24 @@
 	/**
 	 * Takes a piece.
 	 * @param service the service of its stage
-	 * @param piece the piece
+	 * @param item the piece
 	 * @param outcome hears what becomes of it
 	 * @return what withdraws the piece
 	 */
-	public Runnable submit(String service, Piece piece, Consumer<PieceOutcome> outcome) {
+	public Runnable submit(String service, WorkItem item, Consumer<WorkItemOutcome> outcome) {
 		ServiceSpec spec = this.view.catalog().map((catalog) -> catalog.services().get(service)).orElse(null);
 		if (spec == null || spec.stage() == null) {
-			this.loop.execute(() -> outcome.accept(PieceOutcome.failed(piece.ticket())));
+			this.loop.execute(() -> outcome.accept(WorkItemOutcome.failed(item.itemId())));
 			return () -> {
 			};
 		}
 		Lane lane = this.lanes.computeIfAbsent(service, (name) -> new Lane(name, new BatchFormer(spec.stage())));
 		lane.former.capacity(spec.stage());
 		Entry entry = new Entry(outcome);
-		lane.entries.put(piece, entry);
-		lane.former.add(piece);
+		lane.entries.put(item, entry);
+		lane.former.add(item);
 		lane.pumpSoon();
-		return () -> lane.withdraw(piece);
+		return () -> lane.withdraw(item);
 	}
 
 	/**
@@ -224,7 +224,7 @@
 
 		private final BatchFormer former;
 
-		private final Map<Piece, Entry> entries = new HashMap<>();
+		private final Map<WorkItem, Entry> entries = new HashMap<>();
 
 		private boolean pumpPlanned;
 
@@ -248,7 +248,7 @@
 				return;
 			}
 			List<Endpoint> open = StageDesk.this.view.directory().open(this.service, nowMs);
-			for (Piece late : this.former.expire(open.size(), nowMs)) {
+			for (WorkItem late : this.former.expire(open.size(), nowMs)) {
 				StageDesk.this.metrics.count("pieces_expired");
 				EventLog.request("piece_expired", late.attemptId())
 					.with("service", this.service)
@@ -257,7 +257,7 @@
 					.with("endpoints", open.size())
 					.with("left_ms", late.expiresAtMs() - nowMs)
 					.write();
-				finish(late, PieceOutcome.failed(late.ticket()));
+				finish(late, WorkItemOutcome.failed(late.itemId()));
 			}
 			Optional<StageCall> next = this.former.next(open, nowMs);
 			while (next.isPresent()) {
@@ -268,12 +268,12 @@
 		}
 
 		private void send(StageCall call, long nowMs) {
-			call.pieces().forEach((piece) -> this.entries.get(piece).calls++);
+			call.items().forEach((item) -> this.entries.get(item).calls++);
 			StageDesk.this.metrics.count("stage_calls");
 			EventLog.call("stage_call")
 				.with("service", this.service)
 				.with("endpoint", call.endpoint())
-				.with("pieces", call.pieces().size())
+				.with("pieces", call.items().size())
 				.with("near", this.former.nearCount(call))
 				.with("expected_ms", Math.round(call.expectedMs()))
 				.with("waiting", this.former.waitingCount())
@@ -283,20 +283,20 @@
 			RunningCall running = new RunningCall(this, call, nowMs);
 			String address = call.endpoint().record().address();
 			running.cancellable = StageDesk.this.pool.send(address, StageRequests.post(address, StageCalls.RUN_PATH,
-					StageCalls.encode(call.pieces(), nowMs), call.endpoint().record().id()), running);
+					StageCalls.encode(call.items(), nowMs), call.endpoint().record().id()), running);
 			double timeoutMs = Math.max(LEAST_CALL_TIMEOUT_MS,
 					call.expectedMs() * CALL_TIMEOUT_FACTOR * Math.max(1, call.endpoint().slowness()));
 			StageDesk.this.loop.schedule(running::inputsRead, READ_INPUTS_MS, TimeUnit.MILLISECONDS);
 			running.timeout = StageDesk.this.loop.schedule(running::timedOut, (long) timeoutMs, TimeUnit.MILLISECONDS);
 		}
 
-		private void withdraw(Piece piece) {
-			this.entries.remove(piece);
-			this.former.remove(piece);
+		private void withdraw(WorkItem item) {
+			this.entries.remove(item);
+			this.former.remove(item);
 		}
 
-		private void finish(Piece piece, PieceOutcome outcome) {
-			Entry entry = this.entries.remove(piece);
+		private void finish(WorkItem item, WorkItemOutcome outcome) {
+			Entry entry = this.entries.remove(item);
 			if (entry != null) {
 				entry.outcome.accept(outcome);
 			}
@@ -305,24 +305,24 @@
 			}
 		}
 
-		private void waitAgain(Piece piece) {
-			if (this.entries.containsKey(piece)) {
-				this.former.add(piece);
+		private void waitAgain(WorkItem item) {
+			if (this.entries.containsKey(item)) {
+				this.former.add(item);
 			}
 		}
 
-		private void again(Piece piece, boolean arrived, long nowMs) {
-			Entry entry = this.entries.get(piece);
+		private void again(WorkItem item, boolean arrived, long nowMs) {
+			Entry entry = this.entries.get(item);
 			if (entry == null) {
 				return;
 			}
-			boolean allowed = entry.calls < MAX_CALLS_PER_PIECE && (!arrived
+			boolean allowed = entry.calls < MAX_CALLS_PER_ITEM && (!arrived
 					|| StageDesk.this.retries.tryRepeat(this.service, StageDesk.this.vmCount.getAsInt(), nowMs));
 			if (allowed) {
-				this.former.add(piece);
+				this.former.add(item);
 			}
 			else {
-				finish(piece, PieceOutcome.failed(piece.ticket()));
+				finish(item, WorkItemOutcome.failed(item.itemId()));
 			}
 		}
 
@@ -330,11 +330,11 @@
 
 	private static final class Entry {
 
-		private final Consumer<PieceOutcome> outcome;
+		private final Consumer<WorkItemOutcome> outcome;
 
 		private int calls;
 
-		private Entry(Consumer<PieceOutcome> outcome) {
+		private Entry(Consumer<WorkItemOutcome> outcome) {
 			this.outcome = outcome;
 		}
 
@@ -409,9 +409,9 @@
 		}
 
 		private void deliver(long nowMs) {
-			List<PieceResult> results;
+			List<WorkItemResult> results;
 			try {
-				results = StageCalls.decode(ByteBufUtil.getBytes(this.body), this.call.pieces().size());
+				results = StageCalls.decode(ByteBufUtil.getBytes(this.body), this.call.items().size());
 			}
 			catch (MalformedRecordException ex) {
 				this.call.endpoint().failed(true, nowMs);
@@ -421,36 +421,36 @@
 			this.call.endpoint().succeeded(nowMs - this.startedAtMs, this.call.expectedMs(), nowMs);
 			StageDesk.this.metrics.time("stage_call", nowMs - this.startedAtMs);
 			for (int i = 0; i < results.size(); i++) {
-				deliver(this.call.pieces().get(i), results.get(i), nowMs);
+				deliver(this.call.items().get(i), results.get(i), nowMs);
 			}
 		}
 
-		private void deliver(Piece piece, PieceResult result, long nowMs) {
+		private void deliver(WorkItem item, WorkItemResult result, long nowMs) {
 			Endpoint endpoint = this.call.endpoint();
 			if (result.failure() == null) {
-				this.lane.former.hold(endpoint, result.handle(), piece.resultBytes(), nowMs);
-				this.lane.finish(piece,
-						PieceOutcome.done(piece.ticket(), result.handle(), endpoint.record().failureDomain()));
+				this.lane.former.hold(endpoint, result.handle(), item.resultBytes(), nowMs);
+				this.lane.finish(item,
+						WorkItemOutcome.done(item.itemId(), result.handle(), endpoint.record().failureDomain()));
 				return;
 			}
-			EventLog.request("piece_failed", piece.attemptId())
+			EventLog.request("piece_failed", item.attemptId())
 				.with("service", this.lane.service)
-				.with("stage", piece.stage())
+				.with("stage", item.stage())
 				.with("endpoint", endpoint)
 				.with("reason", result.failure())
 				.write();
-			if (result.failure() == PieceResult.Failure.LATE) {
-				this.lane.finish(piece, PieceOutcome.failed(piece.ticket()));
+			if (result.failure() == WorkItemResult.Failure.LATE) {
+				this.lane.finish(item, WorkItemOutcome.failed(item.itemId()));
 			}
-			else if (result.failure() == PieceResult.Failure.INPUT_GONE) {
-				this.lane.finish(piece, PieceOutcome.inputGone(piece.ticket()));
+			else if (result.failure() == WorkItemResult.Failure.INPUT_GONE) {
+				this.lane.finish(item, WorkItemOutcome.inputGone(item.itemId()));
 			}
-			else if (result.failure() == PieceResult.Failure.NO_ROOM) {
+			else if (result.failure() == WorkItemResult.Failure.NO_ROOM) {
 				this.lane.former.full(endpoint, nowMs);
-				this.lane.waitAgain(piece);
+				this.lane.waitAgain(item);
 			}
 			else {
-				this.lane.again(piece, true, nowMs);
+				this.lane.again(item, true, nowMs);
 			}
 		}
 
@@ -467,10 +467,10 @@
 			if (this.over || this.call.endpoint().slowness() > MAX_SLOWNESS_TO_RELY_ON) {
 				return;
 			}
-			for (Piece piece : this.call.pieces()) {
-				Entry entry = this.lane.entries.get(piece);
-				if (entry != null && !piece.inputs().isEmpty()) {
-					entry.outcome.accept(PieceOutcome.inputsRead(piece.ticket()));
+			for (WorkItem item : this.call.items()) {
+				Entry entry = this.lane.entries.get(item);
+				if (entry != null && !item.inputs().isEmpty()) {
+					entry.outcome.accept(WorkItemOutcome.inputsRead(item.itemId()));
 				}
 			}
 		}
@@ -491,10 +491,10 @@
 			EventLog.state("stage_call_failed")
 				.with("service", this.lane.service)
 				.with("endpoint", this.call.endpoint())
-				.with("pieces", this.call.pieces().size())
+				.with("pieces", this.call.items().size())
 				.with("reason", reason)
 				.write();
-			this.call.pieces().forEach((piece) -> this.lane.again(piece, arrived, nowMs));
+			this.call.items().forEach((item) -> this.lane.again(item, arrived, nowMs));
 		}
 
 	}
--- a/entry/src/test/java/org/fulmargap/entry/EntryProcessTests.java
+++ b/entry/src/test/java/org/fulmargap/entry/EntryProcessTests.java
@@ -102,8 +102,8 @@
 			.header("Authorization", "Token good")
 			.header(CallerWire.ATTEMPT_ID, "attempt" + this.attempts)
 			.header(CallerWire.TIME_LEFT_MS, "6000")
-			.header(CallerWire.PIECE_COUNTS, "2,3")
-			.header(CallerWire.CHUNK_KEY, "key")
+			.header(CallerWire.ITEM_COUNTS, "2,3")
+			.header(CallerWire.INPUT_KEY, "key")
 			.header(CallerWire.TOKEN_USAGE, "100,20")
 			.header(CallerWire.PROMPT_PARTS, "aa:60,bb:40")
 			.POST(HttpRequest.BodyPublishers.ofString("{}"))
@@ -142,8 +142,8 @@
 		for (int killed = 0; killed < VMS - 1; killed++) {
 			List<EntryProcess> others = this.vms.subList(killed + 1, VMS);
 			List<CompletableFuture<HttpResponse<String>>> responses = streams(others);
-			int calls = this.stage.piecesByCall().size();
-			Installation.await(() -> this.stage.piecesByCall().size() > calls);
+			int calls = this.stage.itemsByCall().size();
+			Installation.await(() -> this.stage.itemsByCall().size() > calls);
 			this.vms.get(killed).signal("KILL");
 			assertWhole(responses);
 		}
--- a/entry/src/test/java/org/fulmargap/entry/EntryVmTests.java
+++ b/entry/src/test/java/org/fulmargap/entry/EntryVmTests.java
@@ -219,7 +219,7 @@
 			assertThat(response.statusCode()).isEqualTo(200);
 			assertThat(response.body()).isEqualTo(ALL_EVENTS);
 			assertThat(engine.runs()).isEqualTo(1);
-			assertThat(stage.piecesByCall()).containsExactly(2, 3);
+			assertThat(stage.itemsByCall()).containsExactly(2, 3);
 			Installation.await(() -> stage.heldResults() == 0);
 		}
 
@@ -232,7 +232,7 @@
 			HttpResponse<String> response = EntryVmTests.this.installation
 				.send(EntryVmTests.this.installation.pipeline(0));
 			assertThat(response.body()).isEqualTo(ALL_EVENTS);
-			assertThat(stage.piecesByCall()).containsExactly(2, 3, 2, 3);
+			assertThat(stage.itemsByCall()).containsExactly(2, 3, 2, 3);
 			Installation.await(() -> stage.heldResults() == 0);
 		}
 
@@ -268,7 +268,7 @@
 	class SeveralVms {
 
 		@Test
-		void piecesOfRequestsAtSeveralVmsShareCalls() throws Exception {
+		void itemsOfRequestsAtSeveralVmsShareCalls() throws Exception {
 			endpoint("pool-1", "pool");
 			EndpointStandIn stage = endpoint("stage-1", "stage");
 			stage.workMs(150);
@@ -278,8 +278,8 @@
 			for (CompletableFuture<HttpResponse<String>> response : responses) {
 				assertThat(response.get().body()).isEqualTo(ALL_EVENTS);
 			}
-			assertThat(stage.piecesByCall()).anyMatch((pieces) -> pieces > 3);
-			assertThat(stage.piecesByCall().size()).isLessThan(2 * responses.size());
+			assertThat(stage.itemsByCall()).anyMatch((items) -> items > 3);
+			assertThat(stage.itemsByCall().size()).isLessThan(2 * responses.size());
 		}
 
 		@Test
@@ -293,7 +293,7 @@
 			EntryVmTests.this.installation.awaitReady();
 			Thread.sleep(1_500);
 			List<CompletableFuture<HttpResponse<String>>> responses = sendToAll(1);
-			Installation.await(() -> !stage.piecesByCall().isEmpty());
+			Installation.await(() -> !stage.itemsByCall().isEmpty());
 			first.drain();
 			for (CompletableFuture<HttpResponse<String>> response : responses) {
 				assertThat(response.get().body()).isEqualTo(ALL_EVENTS);
--- a/entry/src/test/java/org/fulmargap/entry/Installation.java
+++ b/entry/src/test/java/org/fulmargap/entry/Installation.java
@@ -128,8 +128,8 @@
 	}
 
 	HttpRequest.Builder pipeline(int vm) {
-		return attempt(vm, "/stream/x").header(CallerWire.PIECE_COUNTS, "2,3")
-			.header(CallerWire.CHUNK_KEY, "key")
+		return attempt(vm, "/stream/x").header(CallerWire.ITEM_COUNTS, "2,3")
+			.header(CallerWire.INPUT_KEY, "key")
 			.header(CallerWire.TOKEN_USAGE, "100,20")
 			.header(CallerWire.PROMPT_PARTS, "aa:60,bb:40");
 	}
--- a/entry/src/test/java/org/fulmargap/entry/peer/PeerCodecTests.java
+++ b/entry/src/test/java/org/fulmargap/entry/peer/PeerCodecTests.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 
-import org.fulmargap.batch.Piece;
-import org.fulmargap.entry.stage.PieceOutcome;
+import org.fulmargap.batch.WorkItem;
+import org.fulmargap.entry.stage.WorkItemOutcome;
 import org.fulmargap.placement.Prompt;
 import org.fulmargap.placement.PromptPart;
 import org.fulmargap.platform.KeyedRecord;
@@ -26,7 +26,7 @@
 		List<PeerMessage> messages = List.of(new PeerMessage.Hello("vm-1", 5, "10.0.0.1:7"),
 				new PeerMessage.RecordsWanted(StoreTopic.ENDPOINTS, -1),
 				new PeerMessage.PromptSent("engine", new Prompt(10, 2, List.of(new PromptPart("aa", 6)))),
-				new PeerMessage.Outcomes(List.of(PieceOutcome.done(3, "handle", "a"), PieceOutcome.failed(4))),
+				new PeerMessage.Outcomes(List.of(WorkItemOutcome.done(3, "handle", "a"), WorkItemOutcome.failed(4))),
 				new PeerMessage.Withdrawal(8), new PeerMessage.Release("stage", List.of("h1", "h2"), true),
 				new PeerMessage.Strike("print", "engine"));
 		for (PeerMessage message : messages) {
@@ -60,11 +60,11 @@
 
 	@Test
 	void timesAreMovedIntoTheClockOfTheReceiver() throws IOException {
-		Piece piece = new Piece(1, "id", 0, 2, "", List.of("h"), "a", 1, 1_500, 3_000, 60);
-		PeerMessage.Pieces received = (PeerMessage.Pieces) PeerCodec
-			.decode(PeerCodec.encode(new PeerMessage.Pieces("stage", List.of(piece)), 1_000), 51_000);
-		assertThat(received.pieces())
-			.containsExactly(new Piece(1, "id", 0, 2, "", List.of("h"), "a", 1, 51_500, 53_000, 60));
+		WorkItem item = new WorkItem(1, "id", 0, 2, "", List.of("h"), "a", 1, 1_500, 3_000, 60);
+		PeerMessage.WorkItems received = (PeerMessage.WorkItems) PeerCodec
+			.decode(PeerCodec.encode(new PeerMessage.WorkItems("stage", List.of(item)), 1_000), 51_000);
+		assertThat(received.items())
+			.containsExactly(new WorkItem(1, "id", 0, 2, "", List.of("h"), "a", 1, 51_500, 53_000, 60));
 	}
 
 	@Test
