--- a/core/src/main/java/org/fulmargap/batch/BatchFormer.java
+++ b/core/src/main/java/org/fulmargap/batch/BatchScheduler.java
@@ -27,7 +27,7 @@
  * up room until the last one is done, and results that were read may go when others need
  * their room. Confined to one thread.
  */
-public final class BatchFormer {
+public final class BatchScheduler {
 
 	/** How much earlier a piece is due for each rank of its request, in milliseconds. */
 	private static final long RANK_MS = 600;
@@ -43,7 +43,7 @@
 	/** While this many full calls wait, no endpoint is left idle. */
 	private static final int BUSY_BATCHES = 2;
 
-	private static final Comparator<WorkItem> MOST_URGENT = Comparator.comparingLong(BatchFormer::urgencyMs)
+	private static final Comparator<WorkItem> MOST_URGENT = Comparator.comparingLong(BatchScheduler::urgencyMs)
 		.thenComparing(WorkItem::attemptId)
 		.thenComparingInt(WorkItem::stage)
 		.thenComparingLong(WorkItem::itemId);
@@ -52,7 +52,7 @@
 
 	private final TreeSet<WorkItem> late = new TreeSet<>(MOST_URGENT);
 
-	private final Map<String, StageRoom> rooms = new HashMap<>();
+	private final Map<String, ResultSpace> resultSpaces = new HashMap<>();
 
 	private long newestResultBytes;
 
@@ -62,7 +62,7 @@
 	 * Creates a former.
 	 * @param capacity what one endpoint can take
 	 */
-	public BatchFormer(StageCapacity capacity) {
+	public BatchScheduler(StageCapacity capacity) {
 		this.capacity = capacity;
 	}
 
@@ -116,10 +116,10 @@
 	 * @param call the call
 	 * @return the number
 	 */
-	public int nearCount(StageCall call) {
+	public int localCount(StageCall call) {
 		return (int) call.items()
 			.stream()
-			.filter((item) -> item.isNear(call.endpoint().record().failureDomain()))
+			.filter((item) -> item.isLocal(call.endpoint().record().failureDomain()))
 			.count();
 	}
 
@@ -130,7 +130,7 @@
 	 * @return the room in bytes
 	 */
 	public long freeBytes(Endpoint endpoint, long nowMs) {
-		return usableBytes() - room(endpoint).usedBytes(nowMs);
+		return usableBytes() - resultSpace(endpoint).usedBytes(nowMs);
 	}
 
 	/**
@@ -142,31 +142,32 @@
 	 */
 	public List<WorkItem> expire(int endpoints, long nowMs) {
 		// While many pieces wait, calls are full and take longer.
-		double callMs = expectedMs(Math.min(this.capacity.batch(), Math.max(1, waitingCount())));
+		double expectedCallMs = expectedMs(Math.min(this.capacity.batch(), Math.max(1, waitingCount())));
 		for (Iterator<WorkItem> i = this.waiting.iterator(); i.hasNext();) {
 			WorkItem item = i.next();
-			if (nowMs + callMs > item.dueAtMs()) {
+			if (nowMs + expectedCallMs > item.dueAtMs()) {
 				this.late.add(item);
 				i.remove();
 			}
 		}
 		List<WorkItem> expired = new ArrayList<>();
-		expire(this.waiting, endpoints, nowMs + callMs, 0, expired);
-		expire(this.late, endpoints, nowMs + callMs, this.waiting.size(), expired);
+		expire(this.waiting, endpoints, nowMs + expectedCallMs, 0, expired);
+		expire(this.late, endpoints, nowMs + expectedCallMs, this.waiting.size(), expired);
 		return expired;
 	}
 
-	private void expire(TreeSet<WorkItem> items, int endpoints, double doneAtMs, int before, List<WorkItem> expired) {
+	private void expire(TreeSet<WorkItem> items, int endpoints, double doneAtMs, int itemsAhead,
+			List<WorkItem> expired) {
 		double itemMs = expectedMs(this.capacity.batch()) / this.capacity.batch() / Math.max(1, endpoints);
-		int place = before;
+		int position = itemsAhead;
 		for (Iterator<WorkItem> i = items.iterator(); i.hasNext();) {
 			WorkItem item = i.next();
-			if (doneAtMs + place * itemMs > item.expiresAtMs()) {
+			if (doneAtMs + position * itemMs > item.expiresAtMs()) {
 				expired.add(item);
 				i.remove();
 			}
 			else {
-				place++;
+				position++;
 			}
 		}
 	}
@@ -185,7 +186,7 @@
 		List<WorkItemGroup> groups = candidates();
 		for (WorkItemGroup group : groups) {
 			Optional<Endpoint> best = best(group, free, nowMs);
-			if (best.isPresent() && !waitsForNear(group, best.get(), endpoints, nowMs)) {
+			if (best.isPresent() && !waitsForLocal(group, best.get(), endpoints, nowMs)) {
 				return Optional.of(take(best.get(), group, groups, endpoints, nowMs));
 			}
 		}
@@ -193,7 +194,7 @@
 	}
 
 	private boolean isFree(Endpoint endpoint, long nowMs) {
-		return !endpoint.isSuspended(nowMs) && room(endpoint).callsInFlight() < this.capacity.slots();
+		return !endpoint.isSuspended(nowMs) && resultSpace(endpoint).callsInFlight() < this.capacity.slots();
 	}
 
 	private Optional<Endpoint> best(WorkItemGroup group, List<Endpoint> free, long nowMs) {
@@ -212,20 +213,20 @@
 		if (bySpeed != 0) {
 			return bySpeed < 0;
 		}
-		int byDomain = Boolean.compare(group.isNear(endpoint), group.isNear(best));
+		int byDomain = Boolean.compare(group.isLocal(endpoint), group.isLocal(best));
 		return byDomain > 0 || (byDomain == 0 && freeBytes(endpoint, nowMs) > freeBytes(best, nowMs));
 	}
 
 	// Large inputs are not moved to another failure domain if an endpoint beside them is
 	// done with its call soon enough. While many pieces wait, no endpoint is left idle.
-	private boolean waitsForNear(WorkItemGroup group, Endpoint endpoint, List<Endpoint> endpoints, long nowMs) {
-		if (group.isNear(endpoint) || waitingCount() > this.capacity.batch() * BUSY_BATCHES) {
+	private boolean waitsForLocal(WorkItemGroup group, Endpoint endpoint, List<Endpoint> endpoints, long nowMs) {
+		if (group.isLocal(endpoint) || waitingCount() > this.capacity.batch() * BUSY_BATCHES) {
 			return false;
 		}
 		double latestStartMs = group.first().dueAtMs() - expectedMs(this.capacity.batch());
 		return endpoints.stream()
-			.anyMatch((near) -> group.isNear(near) && !near.isSuspended(nowMs)
-					&& room(near).callEndsAtMs() <= latestStartMs);
+			.anyMatch((local) -> group.isLocal(local) && !local.isSuspended(nowMs)
+					&& resultSpace(local).callEndsAtMs() <= latestStartMs);
 	}
 
 	private StageCall take(Endpoint endpoint, WorkItemGroup first, List<WorkItemGroup> groups, List<Endpoint> endpoints,
@@ -235,12 +236,12 @@
 		long leftBytes = freeBytes - first.resultBytes();
 		// Groups whose inputs lie beside the endpoint go first among the most urgent
 		// ones.
-		for (boolean near : new boolean[] { true, false }) {
+		for (boolean local : new boolean[] { true, false }) {
 			for (WorkItemGroup group : groups) {
 				boolean fits = items.size() + group.items().size() <= this.capacity.batch()
 						&& group.resultBytes() <= leftBytes;
-				if (fits && group != first && group.isNear(endpoint) == near
-						&& !waitsForNear(group, endpoint, endpoints, nowMs)) {
+				if (fits && group != first && group.isLocal(endpoint) == local
+						&& !waitsForLocal(group, endpoint, endpoints, nowMs)) {
 					items.addAll(group.items());
 					leftBytes -= group.resultBytes();
 				}
@@ -251,7 +252,7 @@
 		}
 		items.forEach(this::remove);
 		double expectedMs = expectedMs(items.size());
-		room(endpoint).callStarted(freeBytes - leftBytes, nowMs + expectedMs * endpoint.slowness());
+		resultSpace(endpoint).callStarted(freeBytes - leftBytes, nowMs + expectedMs * endpoint.slowness());
 		return new StageCall(endpoint, List.copyOf(items), expectedMs);
 	}
 
@@ -293,7 +294,7 @@
 	 * @return the time in milliseconds
 	 */
 	public double expectedMs(int items) {
-		return this.capacity.callMs() + items * this.capacity.itemMs();
+		return this.capacity.callOverheadMs() + items * this.capacity.itemMs();
 	}
 
 	/**
@@ -301,7 +302,7 @@
 	 * @param call the call
 	 */
 	public void ended(StageCall call) {
-		room(call.endpoint()).callEnded(call.items().stream().mapToLong(WorkItem::resultBytes).sum());
+		resultSpace(call.endpoint()).callEnded(call.items().stream().mapToLong(WorkItem::resultBytes).sum());
 	}
 
 	/**
@@ -311,9 +312,9 @@
 	 * @param resultBytes its size in bytes
 	 * @param nowMs the present time in milliseconds
 	 */
-	public void hold(Endpoint endpoint, String handle, long resultBytes, long nowMs) {
+	public void recordResult(Endpoint endpoint, String handle, long resultBytes, long nowMs) {
 		this.newestResultBytes = resultBytes;
-		room(endpoint).hold(handle, resultBytes, nowMs + this.capacity.resultLifetimeMs());
+		resultSpace(endpoint).recordResult(handle, resultBytes, nowMs + this.capacity.resultLifetimeMs());
 	}
 
 	/**
@@ -322,8 +323,8 @@
 	 * @param endpoint the endpoint
 	 * @param nowMs the present time in milliseconds
 	 */
-	public void full(Endpoint endpoint, long nowMs) {
-		room(endpoint).full(freeBytes(endpoint, nowMs), this.capacity.resultLifetimeMs(), nowMs);
+	public void recordOutOfSpace(Endpoint endpoint, long nowMs) {
+		resultSpace(endpoint).recordOutOfSpace(freeBytes(endpoint, nowMs), this.capacity.resultLifetimeMs(), nowMs);
 	}
 
 	/**
@@ -332,9 +333,9 @@
 	 * @param handle the name of the result
 	 */
 	public void release(String endpointId, String handle) {
-		StageRoom room = this.rooms.get(endpointId);
-		if (room != null && !room.release(handle)) {
-			room.foreignReleased(this.newestResultBytes);
+		ResultSpace resultSpace = this.resultSpaces.get(endpointId);
+		if (resultSpace != null && !resultSpace.release(handle)) {
+			resultSpace.unownedReleased(this.newestResultBytes);
 		}
 	}
 
@@ -342,8 +343,8 @@
 	 * Records that a result is needed again only if a call fails.
 	 * @param handle the name of the result
 	 */
-	public void spare(String handle) {
-		this.rooms.values().forEach((room) -> room.spare(handle));
+	public void markEvictable(String handle) {
+		this.resultSpaces.values().forEach((resultSpace) -> resultSpace.markEvictable(handle));
 	}
 
 	/**
@@ -352,25 +353,25 @@
 	 * @param nowMs the present time in milliseconds
 	 * @return the names of the results
 	 */
-	public List<String> reclaim(long nowMs) {
+	public List<String> evict(long nowMs) {
 		List<String> handles = new ArrayList<>();
 		if (waitingCount() > 0) {
 			WorkItem first = candidates().get(0).first();
 			long wantedBytes = first.resultBytes() * this.capacity.batch();
-			for (StageRoom room : this.rooms.values()) {
-				long freeBytes = usableBytes() - room.usedBytes(nowMs);
-				handles.addAll(room.reclaim(wantedBytes - freeBytes));
+			for (ResultSpace resultSpace : this.resultSpaces.values()) {
+				long freeBytes = usableBytes() - resultSpace.usedBytes(nowMs);
+				handles.addAll(resultSpace.evict(wantedBytes - freeBytes));
 			}
 		}
 		return handles;
 	}
 
 	private long usableBytes() {
-		return (long) (this.capacity.roomBytes() / SIZE_MARGIN);
+		return (long) (this.capacity.resultSpaceBytes() / SIZE_MARGIN);
 	}
 
-	private StageRoom room(Endpoint endpoint) {
-		return this.rooms.computeIfAbsent(endpoint.record().id(), (id) -> new StageRoom());
+	private ResultSpace resultSpace(Endpoint endpoint) {
+		return this.resultSpaces.computeIfAbsent(endpoint.record().id(), (id) -> new ResultSpace());
 	}
 
 }
--- a/core/src/main/java/org/fulmargap/batch/PipelineEstimate.java
+++ b/core/src/main/java/org/fulmargap/batch/PipelineEstimate.java
@@ -57,12 +57,12 @@
 	public record StageLoad(StageCapacity capacity, double endpoints, int piecesBefore, int depth) {
 
 		private double waitMs() {
-			double fullMs = this.capacity.callMs() + this.capacity.batch() * this.capacity.itemMs();
+			double fullMs = this.capacity.callOverheadMs() + this.capacity.batch() * this.capacity.itemMs();
 			return this.piecesBefore * fullMs / this.capacity.batch() / Math.max(LEAST_ENDPOINTS, this.endpoints);
 		}
 
 		private double usualCallMs() {
-			return this.capacity.callMs() + this.capacity.batch() * USUAL_BATCH_SHARE * this.capacity.itemMs();
+			return this.capacity.callOverheadMs() + this.capacity.batch() * USUAL_BATCH_SHARE * this.capacity.itemMs();
 		}
 
 	}
--- a/core/src/main/java/org/fulmargap/batch/StageRoom.java
+++ b/core/src/main/java/org/fulmargap/batch/ResultSpace.java
@@ -13,21 +13,21 @@
  * finished results still take, and what results take that another VM had made while it
  * was in charge. Of the latter only the endpoint's refusals tell.
  */
-final class StageRoom {
+final class ResultSpace {
 
-	private final Map<String, Held> heldByHandle = new HashMap<>();
+	private final Map<String, StoredResult> resultsByHandle = new HashMap<>();
 
-	private final Set<String> spare = new LinkedHashSet<>();
+	private final Set<String> evictable = new LinkedHashSet<>();
 
-	private long heldBytes;
+	private long storedBytes;
 
 	private long reservedBytes;
 
-	private long foreignBytes;
+	private long unownedBytes;
 
-	private long foreignSinceMs;
+	private long unownedSinceMs;
 
-	private long foreignUntilMs = Long.MIN_VALUE;
+	private long unownedUntilMs = Long.MIN_VALUE;
 
 	private int callsInFlight;
 
@@ -44,15 +44,15 @@
 		this.reservedBytes -= bytes;
 	}
 
-	void hold(String handle, long bytes, long untilMs) {
-		if (this.heldByHandle.put(handle, new Held(bytes, untilMs)) == null) {
-			this.heldBytes += bytes;
+	void recordResult(String handle, long bytes, long untilMs) {
+		if (this.resultsByHandle.put(handle, new StoredResult(bytes, untilMs)) == null) {
+			this.storedBytes += bytes;
 		}
 	}
 
-	void spare(String handle) {
-		if (this.heldByHandle.containsKey(handle)) {
-			this.spare.add(handle);
+	void markEvictable(String handle) {
+		if (this.resultsByHandle.containsKey(handle)) {
+			this.evictable.add(handle);
 		}
 	}
 
@@ -61,28 +61,28 @@
 	 * @param bytes the room that is wanted beyond what is free, in bytes
 	 * @return the names of the results, the oldest ones first
 	 */
-	List<String> reclaim(long bytes) {
-		List<String> reclaimed = new ArrayList<>();
+	List<String> evict(long bytes) {
+		List<String> evicted = new ArrayList<>();
 		long leftBytes = bytes;
-		for (Iterator<String> i = this.spare.iterator(); i.hasNext() && leftBytes > 0;) {
+		for (Iterator<String> i = this.evictable.iterator(); i.hasNext() && leftBytes > 0;) {
 			String handle = i.next();
 			i.remove();
-			Held held = this.heldByHandle.get(handle);
-			if (held != null) {
-				leftBytes -= held.bytes();
-				reclaimed.add(handle);
+			StoredResult stored = this.resultsByHandle.get(handle);
+			if (stored != null) {
+				leftBytes -= stored.bytes();
+				evicted.add(handle);
 			}
 		}
-		return reclaimed;
+		return evicted;
 	}
 
 	boolean release(String handle) {
-		this.spare.remove(handle);
-		Held held = this.heldByHandle.remove(handle);
-		if (held == null) {
+		this.evictable.remove(handle);
+		StoredResult stored = this.resultsByHandle.remove(handle);
+		if (stored == null) {
 			return false;
 		}
-		this.heldBytes -= held.bytes();
+		this.storedBytes -= stored.bytes();
 		return true;
 	}
 
@@ -92,27 +92,27 @@
 	 * @param lifetimeMs how long results are kept, in milliseconds
 	 * @param nowMs the present time in milliseconds
 	 */
-	void full(long bytes, long lifetimeMs, long nowMs) {
-		this.foreignBytes = foreignBytes(nowMs) + Math.max(0, bytes);
-		this.foreignSinceMs = nowMs;
-		this.foreignUntilMs = nowMs + lifetimeMs;
+	void recordOutOfSpace(long bytes, long lifetimeMs, long nowMs) {
+		this.unownedBytes = unownedBytes(nowMs) + Math.max(0, bytes);
+		this.unownedSinceMs = nowMs;
+		this.unownedUntilMs = nowMs + lifetimeMs;
 	}
 
 	/**
 	 * Records that a result went that another VM had made.
 	 * @param bytes its size in bytes
 	 */
-	void foreignReleased(long bytes) {
-		this.foreignBytes = Math.max(0, this.foreignBytes - bytes);
+	void unownedReleased(long bytes) {
+		this.unownedBytes = Math.max(0, this.unownedBytes - bytes);
 	}
 
 	// Results of unknown age expire evenly over their lifetime.
-	private long foreignBytes(long nowMs) {
-		if (nowMs >= this.foreignUntilMs) {
+	private long unownedBytes(long nowMs) {
+		if (nowMs >= this.unownedUntilMs) {
 			return 0;
 		}
-		double left = (this.foreignUntilMs - nowMs) / (double) (this.foreignUntilMs - this.foreignSinceMs);
-		return (long) (this.foreignBytes * left);
+		double left = (this.unownedUntilMs - nowMs) / (double) (this.unownedUntilMs - this.unownedSinceMs);
+		return (long) (this.unownedBytes * left);
 	}
 
 	int callsInFlight() {
@@ -128,17 +128,17 @@
 	}
 
 	long usedBytes(long nowMs) {
-		for (Iterator<Held> i = this.heldByHandle.values().iterator(); i.hasNext();) {
-			Held held = i.next();
-			if (nowMs >= held.untilMs()) {
-				this.heldBytes -= held.bytes();
+		for (Iterator<StoredResult> i = this.resultsByHandle.values().iterator(); i.hasNext();) {
+			StoredResult stored = i.next();
+			if (nowMs >= stored.untilMs()) {
+				this.storedBytes -= stored.bytes();
 				i.remove();
 			}
 		}
-		return this.heldBytes + this.reservedBytes + foreignBytes(nowMs);
+		return this.storedBytes + this.reservedBytes + unownedBytes(nowMs);
 	}
 
-	private record Held(long bytes, long untilMs) {
+	private record StoredResult(long bytes, long untilMs) {
 	}
 
 }
--- a/core/src/main/java/org/fulmargap/batch/WorkItem.java
+++ b/core/src/main/java/org/fulmargap/batch/WorkItem.java
@@ -32,7 +32,7 @@
 	 * @param failureDomain the name of the domain
 	 * @return {@code true} if its inputs lie there, or if it has none to speak of
 	 */
-	public boolean isNear(String failureDomain) {
+	public boolean isLocal(String failureDomain) {
 		return this.inputDomain.isEmpty() || this.inputDomain.equals(failureDomain);
 	}
 
--- a/core/src/main/java/org/fulmargap/batch/WorkItemGroup.java
+++ b/core/src/main/java/org/fulmargap/batch/WorkItemGroup.java
@@ -45,8 +45,8 @@
 		return this.items.stream().mapToLong(WorkItem::resultBytes).sum();
 	}
 
-	boolean isNear(Endpoint endpoint) {
-		return first().isNear(endpoint.record().failureDomain());
+	boolean isLocal(Endpoint endpoint) {
+		return first().isLocal(endpoint.record().failureDomain());
 	}
 
 	/**
--- a/core/src/main/java/org/fulmargap/catalog/StageCapacity.java
+++ b/core/src/main/java/org/fulmargap/catalog/StageCapacity.java
@@ -6,11 +6,11 @@
  * @param slots the calls that it works on at the same time
  * @param queue the calls that may wait there
  * @param batch the highest number of pieces in a call
- * @param callMs the time of a call without pieces, in milliseconds
+ * @param callOverheadMs the time of a call without pieces, in milliseconds
  * @param itemMs the approximate time of a piece, in milliseconds
- * @param roomBytes the room for results in bytes
+ * @param resultSpaceBytes the room for results in bytes
  * @param resultLifetimeMs how long a result is kept after its call, in milliseconds
  */
-public record StageCapacity(int slots, int queue, int batch, double callMs, double itemMs, long roomBytes,
-		long resultLifetimeMs) {
+public record StageCapacity(int slots, int queue, int batch, double callOverheadMs, double itemMs,
+		long resultSpaceBytes, long resultLifetimeMs) {
 }
--- a/core/src/test/java/org/fulmargap/batch/PipelineLoad.java
+++ b/core/src/test/java/org/fulmargap/batch/PipelineLoad.java
@@ -184,7 +184,7 @@
 
 		private final StageCapacity capacity;
 
-		private final BatchFormer former;
+		private final BatchScheduler scheduler;
 
 		private final List<Endpoint> endpoints = new ArrayList<>();
 
@@ -197,7 +197,7 @@
 		private Stage(String name, StageCapacity capacity, int endpointCount, int itemsPerRequest, long resultBytes) {
 			this.name = name;
 			this.capacity = capacity;
-			this.former = new BatchFormer(capacity);
+			this.scheduler = new BatchScheduler(capacity);
 			this.itemsPerRequest = itemsPerRequest;
 			this.resultBytes = resultBytes;
 			for (int i = 0; i < endpointCount; i++) {
@@ -205,24 +205,24 @@
 			}
 		}
 
-		private void pump() {
+		private void dispatch() {
 			long now = (long) PipelineLoad.this.nowMs;
-			for (WorkItem expired : this.former.expire(this.endpoints.size(), now)) {
+			for (WorkItem expired : this.scheduler.expire(this.endpoints.size(), now)) {
 				this.requests.get(expired.attemptId()).failed = true;
 			}
-			var call = this.former.next(this.endpoints, now);
+			var call = this.scheduler.next(this.endpoints, now);
 			while (call.isPresent()) {
 				start(call.get());
-				call = this.former.next(this.endpoints, now);
+				call = this.scheduler.next(this.endpoints, now);
 			}
-			this.former.reclaim(now).forEach(this::free);
+			this.scheduler.evict(now).forEach(this::free);
 		}
 
 		private void start(StageCall call) {
 			after(READ_INPUTS_MS, () -> call.items().forEach((item) -> request(item).inputsRead(this)));
 			after(call.expectedMs(), () -> end(call));
 			PipelineLoad.this.items += call.items().size();
-			PipelineLoad.this.remoteItems += call.items().size() - this.former.nearCount(call);
+			PipelineLoad.this.remoteItems += call.items().size() - this.scheduler.localCount(call);
 		}
 
 		private Request request(WorkItem item) {
@@ -230,19 +230,19 @@
 		}
 
 		private void end(StageCall call) {
-			this.former.ended(call);
+			this.scheduler.ended(call);
 			for (WorkItem item : call.items()) {
 				String handle = call.endpoint() + "/" + this.name + item.itemId();
-				this.former.hold(call.endpoint(), handle, this.resultBytes, (long) PipelineLoad.this.nowMs);
+				this.scheduler.recordResult(call.endpoint(), handle, this.resultBytes, (long) PipelineLoad.this.nowMs);
 				request(item).done(this, handle, call.endpoint().record().failureDomain());
 			}
-			pump();
+			dispatch();
 		}
 
 		private void free(String handle) {
 			after(FREE_MS, () -> {
-				this.former.release(handle.substring(0, handle.indexOf('/')), handle);
-				pump();
+				this.scheduler.release(handle.substring(0, handle.indexOf('/')), handle);
+				dispatch();
 			});
 		}
 
@@ -308,17 +308,17 @@
 			long dueAtMs = (long) this.arrivedAtMs + PipelineLoad.this.objectiveMs - behindMs;
 			for (int i = 0; i < stage.itemsPerRequest; i++) {
 				PipelineLoad.this.numbers++;
-				stage.former.add(new WorkItem(PipelineLoad.this.numbers, this.id, this.stageIndex, i, "", this.inputs,
-						(this.stageIndex == 2) ? this.domain : "", 0, dueAtMs,
+				stage.scheduler.add(new WorkItem(PipelineLoad.this.numbers, this.id, this.stageIndex, i, "",
+						this.inputs, (this.stageIndex == 2) ? this.domain : "", 0, dueAtMs,
 						(long) this.arrivedAtMs + PATIENCE_MS - behindMs, stage.resultBytes));
 			}
-			after(0, stage::pump);
+			after(0, stage::dispatch);
 		}
 
 		private void inputsRead(Stage reader) {
 			this.readers++;
 			if (PipelineLoad.this.sparing && this.readers == reader.itemsPerRequest && this.stageIndex > 0) {
-				this.inputs.forEach(PipelineLoad.this.stages.get(this.stageIndex - 1).former::spare);
+				this.inputs.forEach(PipelineLoad.this.stages.get(this.stageIndex - 1).scheduler::markEvictable);
 			}
 		}
 
--- a/core/src/test/java/org/fulmargap/batch/StageLoadTests.java
+++ b/core/src/test/java/org/fulmargap/batch/StageLoadTests.java
@@ -64,7 +64,7 @@
 
 	private static Result play(double requestsPerSecond, double urgentShare, boolean alone) {
 		Random random = new Random(7);
-		BatchFormer former = new BatchFormer(CHAIN_SYNC);
+		BatchScheduler scheduler = new BatchScheduler(CHAIN_SYNC);
 		List<Endpoint> endpoints = new ArrayList<>();
 		for (int i = 0; i < ENDPOINTS; i++) {
 			endpoints.add(Endpoints.ready("endpoint" + i, "a"));
@@ -84,42 +84,42 @@
 				result.arrived(request);
 				for (int i = 0; i < WORK_ITEMS; i++) {
 					itemId++;
-					former.add(new WorkItem(itemId, request.id, 1, i, "key", List.of(), "", priority,
+					scheduler.add(new WorkItem(itemId, request.id, 1, i, "key", List.of(), "", priority,
 							(long) nowMs + DUE_MS, (long) nowMs + EXPIRES_MS, 60_000));
 				}
 				nextArrivalMs = nowMs - Math.log(1 - random.nextDouble()) * 1_000 / requestsPerSecond;
 			}
 			while (!running.isEmpty() && running.peek().endsAtMs() <= nowMs) {
 				Running done = running.poll();
-				former.ended(done.call());
+				scheduler.ended(done.call());
 				for (WorkItem item : done.call().items()) {
 					result.done(requests.get(item.attemptId()), (long) nowMs);
 				}
 			}
-			former.expire(ENDPOINTS, (long) nowMs);
-			start(former, endpoints, running, nowMs, alone);
+			scheduler.expire(ENDPOINTS, (long) nowMs);
+			start(scheduler, endpoints, running, nowMs, alone);
 		}
 		return result;
 	}
 
-	private static void start(BatchFormer former, List<Endpoint> endpoints, PriorityQueue<Running> running,
+	private static void start(BatchScheduler scheduler, List<Endpoint> endpoints, PriorityQueue<Running> running,
 			double nowMs, boolean alone) {
-		var call = former.next(endpoints, (long) nowMs);
+		var call = scheduler.next(endpoints, (long) nowMs);
 		while (call.isPresent()) {
 			StageCall next = call.get();
 			if (alone) {
-				next = firstRequestOnly(former, next);
+				next = firstRequestOnly(scheduler, next);
 			}
-			running.add(new Running(next, nowMs + former.expectedMs(next.items().size())));
-			call = former.next(endpoints, (long) nowMs);
+			running.add(new Running(next, nowMs + scheduler.expectedMs(next.items().size())));
+			call = scheduler.next(endpoints, (long) nowMs);
 		}
 	}
 
 	// The naive way: a call holds the pieces of one request.
-	private static StageCall firstRequestOnly(BatchFormer former, StageCall call) {
+	private static StageCall firstRequestOnly(BatchScheduler scheduler, StageCall call) {
 		String id = call.items().get(0).attemptId();
 		List<WorkItem> own = call.items().stream().filter((item) -> item.attemptId().equals(id)).toList();
-		call.items().stream().filter((item) -> !own.contains(item)).forEach(former::add);
+		call.items().stream().filter((item) -> !own.contains(item)).forEach(scheduler::add);
 		return new StageCall(call.endpoint(), own, call.expectedMs());
 	}
 
--- a/entry/src/main/java/org/fulmargap/entry/EntryVm.java
+++ b/entry/src/main/java/org/fulmargap/entry/EntryVm.java
@@ -21,8 +21,8 @@
 import org.fulmargap.entry.request.RequestRouter;
 import org.fulmargap.entry.request.RequestServices;
 import org.fulmargap.entry.request.ServiceTimes;
+import org.fulmargap.entry.stage.StageCallDispatcher;
 import org.fulmargap.entry.stage.StageClient;
-import org.fulmargap.entry.stage.StageDesk;
 import org.fulmargap.placement.Endpoint;
 import org.fulmargap.placement.PeerLoad;
 import org.fulmargap.placement.Placement;
@@ -76,7 +76,7 @@
 
 	private final PeerNetwork peers;
 
-	private final StageDesk desk;
+	private final StageCallDispatcher dispatcher;
 
 	private final StageClient stages;
 
@@ -100,8 +100,9 @@
 		EndpointPool pool = new EndpointPool(this.loop, this.clockMs);
 		RetryAllowance retries = new RetryAllowance(settings.retryRatio(), settings.retrySlack(),
 				settings.retryWindowMs());
-		this.desk = new StageDesk(this.loop, this.clockMs, this.view, pool, retries, this.peers::vmCount, this.metrics);
-		this.stages = new StageClient(this.loop, this.desk, this.peers);
+		this.dispatcher = new StageCallDispatcher(this.loop, this.clockMs, this.view, pool, retries,
+				this.peers::vmCount, this.metrics);
+		this.stages = new StageClient(this.loop, this.dispatcher, this.peers);
 		RequestServices services = new RequestServices(this.loop, this.clockMs, this.view,
 				new Placement(settings.failureDomain()), retries, this.quarantine, pool, this.stages, this.committed,
 				this.working, this.peers, new ServiceTimes(), new CallerTimes(), this.metrics);
@@ -163,7 +164,7 @@
 	}
 
 	private int pendingItems() throws InterruptedException {
-		return this.loop.submit(this.desk::pendingCount).awaitUninterruptibly().getNow();
+		return this.loop.submit(this.dispatcher::pendingCount).awaitUninterruptibly().getNow();
 	}
 
 	private long busyConnections() throws InterruptedException {
@@ -241,7 +242,7 @@
 
 	@Override
 	public Map<String, Double> workingEndpoints() {
-		Map<String, Double> own = this.desk.workingEndpoints();
+		Map<String, Double> own = this.dispatcher.workingEndpoints();
 		this.working.reported(this.settings.vm(), own, this.clockMs.getAsLong());
 		return own;
 	}
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerCodec.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerCodec.java
@@ -88,7 +88,7 @@
 			out.packInt(Type.WITHDRAWAL.ordinal()).packLong(withdrawal.itemId());
 		}
 		else if (message instanceof PeerMessage.Release release) {
-			out.packInt(Type.RELEASE.ordinal()).packString(release.service()).packBoolean(release.spare());
+			out.packInt(Type.RELEASE.ordinal()).packString(release.service()).packBoolean(release.evictable());
 			writeTexts(out, release.handles());
 		}
 		else if (message instanceof PeerMessage.RecordsWanted wanted) {
@@ -352,8 +352,8 @@
 			@Override
 			PeerMessage read(MessageUnpacker in, long nowMs) throws IOException {
 				String service = in.unpackString();
-				boolean spare = in.unpackBoolean();
-				return new PeerMessage.Release(service, readTexts(in), spare);
+				boolean evictable = in.unpackBoolean();
+				return new PeerMessage.Release(service, readTexts(in), evictable);
 			}
 		},
 
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerMessage.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerMessage.java
@@ -108,9 +108,9 @@
 	 *
 	 * @param service the service that made them
 	 * @param handles the names of the results
-	 * @param spare whether they should be kept as long as there is room for them
+	 * @param evictable whether they should be kept as long as there is room for them
 	 */
-	record Release(String service, List<String> handles, boolean spare) implements PeerMessage {
+	record Release(String service, List<String> handles, boolean evictable) implements PeerMessage {
 	}
 
 	/**
--- a/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
@@ -216,7 +216,7 @@
 		return most;
 	}
 
-	private void finished(StageProgress stage, int place, WorkItemOutcome outcome) {
+	private void finished(StageProgress stage, int itemIndex, WorkItemOutcome outcome) {
 		if (outcome.status().isLast()) {
 			stage.ended(outcome.itemId());
 		}
@@ -227,22 +227,22 @@
 			return;
 		}
 		switch (outcome.status()) {
-			case INPUTS_READ -> inputsRead(stage, place);
-			case DONE -> done(stage, place, outcome);
+			case INPUTS_READ -> inputsRead(stage, itemIndex);
+			case DONE -> done(stage, itemIndex, outcome);
 			case INPUT_GONE -> inputGone(stage);
 			case FAILED -> failed(stage);
 		}
 	}
 
-	private void inputsRead(StageProgress stage, int place) {
-		stage.inputsRead(place);
+	private void inputsRead(StageProgress stage, int itemIndex) {
+		stage.inputsRead(itemIndex);
 		if (stage.needsNoInputs()) {
-			unneededInputs(stage).forEach(this::spare);
+			unneededInputs(stage).forEach(this::markEvictable);
 		}
 	}
 
-	private void done(StageProgress stage, int place, WorkItemOutcome outcome) {
-		stage.done(place, outcome);
+	private void done(StageProgress stage, int itemIndex, WorkItemOutcome outcome) {
+		stage.done(itemIndex, outcome);
 		this.committed.remove(stage.service(), this.priority, 1);
 		if (stage.isDone()) {
 			EventLog.request("stage_done", this.request.attemptId())
@@ -305,10 +305,10 @@
 		return this.stages.stream().filter((reader) -> reader.spec().after().contains(index));
 	}
 
-	private void spare(StageProgress stage) {
+	private void markEvictable(StageProgress stage) {
 		List<String> handles = stage.handles();
 		if (!handles.isEmpty() && !stage.isReleased()) {
-			this.client.spare(stage.service(), handles);
+			this.client.markEvictable(stage.service(), handles);
 		}
 	}
 
--- a/entry/src/main/java/org/fulmargap/entry/stage/StageDesk.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
@@ -16,7 +16,7 @@
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.util.concurrent.Future;
-import org.fulmargap.batch.BatchFormer;
+import org.fulmargap.batch.BatchScheduler;
 import org.fulmargap.batch.StageCall;
 import org.fulmargap.batch.WorkItem;
 import org.fulmargap.catalog.ServiceSpec;
@@ -37,7 +37,7 @@
  * Makes the calls of the stage services that this VM is in charge of, with the pieces of
  * all entry VMs. Confined to the event loop.
  */
-public final class StageDesk {
+public final class StageCallDispatcher {
 
 	/** A call that takes this many times its expected time is given up. */
 	private static final double CALL_TIMEOUT_FACTOR = 2.5;
@@ -82,7 +82,7 @@
 
 	private final EntryMetrics metrics;
 
-	private final Map<String, Lane> lanes = new HashMap<>();
+	private final Map<String, ServiceQueue> queues = new HashMap<>();
 
 	private final Map<String, List<String>> freedByAddress = new HashMap<>();
 
@@ -96,8 +96,8 @@
 	 * @param vmCount the number of entry VMs
 	 * @param metrics counters and latencies
 	 */
-	public StageDesk(EventLoop loop, LongSupplier clockMs, StoreView view, EndpointPool pool, RetryAllowance retries,
-			IntSupplier vmCount, EntryMetrics metrics) {
+	public StageCallDispatcher(EventLoop loop, LongSupplier clockMs, StoreView view, EndpointPool pool,
+			RetryAllowance retries, IntSupplier vmCount, EntryMetrics metrics) {
 		this.loop = loop;
 		this.clockMs = clockMs;
 		this.view = view;
@@ -122,13 +122,14 @@
 			return () -> {
 			};
 		}
-		Lane lane = this.lanes.computeIfAbsent(service, (name) -> new Lane(name, new BatchFormer(spec.stage())));
-		lane.former.capacity(spec.stage());
+		ServiceQueue queue = this.queues.computeIfAbsent(service,
+				(name) -> new ServiceQueue(name, new BatchScheduler(spec.stage())));
+		queue.scheduler.capacity(spec.stage());
 		Entry entry = new Entry(outcome);
-		lane.entries.put(item, entry);
-		lane.former.add(item);
-		lane.pumpSoon();
-		return () -> lane.withdraw(item);
+		queue.entries.put(item, entry);
+		queue.scheduler.add(item);
+		queue.scheduleDispatch();
+		return () -> queue.withdraw(item);
 	}
 
 	/**
@@ -150,21 +151,21 @@
 	 * @param service the service that made them
 	 * @param handles the names of the results
 	 */
-	public void spare(String service, List<String> handles) {
-		Lane lane = this.lanes.get(service);
-		if (lane != null) {
-			handles.forEach(lane.former::spare);
-			lane.pumpSoon();
+	public void markEvictable(String service, List<String> handles) {
+		ServiceQueue queue = this.queues.get(service);
+		if (queue != null) {
+			handles.forEach(queue.scheduler::markEvictable);
+			queue.scheduleDispatch();
 		}
 	}
 
 	// The room is free when the endpoint says so, not before.
 	private void freed(String address, List<String> handles) {
 		for (Endpoint endpoint : this.view.directory().all()) {
-			Lane lane = this.lanes.get(endpoint.record().service());
-			if (lane != null && endpoint.record().address().equals(address)) {
-				handles.forEach((handle) -> lane.former.release(endpoint.record().id(), handle));
-				lane.pumpSoon();
+			ServiceQueue queue = this.queues.get(endpoint.record().service());
+			if (queue != null && endpoint.record().address().equals(address)) {
+				handles.forEach((handle) -> queue.scheduler.release(endpoint.record().id(), handle));
+				queue.scheduleDispatch();
 			}
 		}
 	}
@@ -174,7 +175,7 @@
 	 * @return the number of pieces that wait or are in a call
 	 */
 	public int pendingCount() {
-		return this.lanes.values().stream().mapToInt((lane) -> lane.entries.size()).sum();
+		return this.queues.values().stream().mapToInt((queue) -> queue.entries.size()).sum();
 	}
 
 	/**
@@ -184,8 +185,8 @@
 	public Map<String, Double> workingEndpoints() {
 		long nowMs = this.clockMs.getAsLong();
 		Map<String, Double> working = new HashMap<>();
-		this.lanes.forEach((service, lane) -> {
-			if (!lane.entries.isEmpty()) {
+		this.queues.forEach((service, queue) -> {
+			if (!queue.entries.isEmpty()) {
 				working.put(service, speed(this.view.directory().open(service, nowMs), nowMs));
 			}
 		});
@@ -212,87 +213,89 @@
 	}
 
 	private void tick() {
-		this.lanes.values().forEach(Lane::pump);
+		this.queues.values().forEach(ServiceQueue::dispatch);
 	}
 
 	/**
 	 * The pieces and calls of one service.
 	 */
-	private final class Lane {
+	private final class ServiceQueue {
 
 		private final String service;
 
-		private final BatchFormer former;
+		private final BatchScheduler scheduler;
 
 		private final Map<WorkItem, Entry> entries = new HashMap<>();
 
-		private boolean pumpPlanned;
+		private boolean dispatchScheduled;
 
-		private Lane(String service, BatchFormer former) {
+		private ServiceQueue(String service, BatchScheduler scheduler) {
 			this.service = service;
-			this.former = former;
+			this.scheduler = scheduler;
 		}
 
-		private void pumpSoon() {
+		private void scheduleDispatch() {
 			// Pieces that arrive in one turn of the event loop share a call.
-			if (!this.pumpPlanned) {
-				this.pumpPlanned = true;
-				StageDesk.this.loop.execute(this::pump);
+			if (!this.dispatchScheduled) {
+				this.dispatchScheduled = true;
+				StageCallDispatcher.this.loop.execute(this::dispatch);
 			}
 		}
 
-		private void pump() {
-			this.pumpPlanned = false;
-			long nowMs = StageDesk.this.clockMs.getAsLong();
-			if (this.former.waitingCount() == 0) {
+		private void dispatch() {
+			this.dispatchScheduled = false;
+			long nowMs = StageCallDispatcher.this.clockMs.getAsLong();
+			if (this.scheduler.waitingCount() == 0) {
 				return;
 			}
-			List<Endpoint> open = StageDesk.this.view.directory().open(this.service, nowMs);
-			for (WorkItem late : this.former.expire(open.size(), nowMs)) {
-				StageDesk.this.metrics.count("pieces_expired");
+			List<Endpoint> open = StageCallDispatcher.this.view.directory().open(this.service, nowMs);
+			for (WorkItem late : this.scheduler.expire(open.size(), nowMs)) {
+				StageCallDispatcher.this.metrics.count("pieces_expired");
 				EventLog.request("piece_expired", late.attemptId())
 					.with("service", this.service)
 					.with("stage", late.stage())
-					.with("waiting", this.former.waitingCount())
+					.with("waiting", this.scheduler.waitingCount())
 					.with("endpoints", open.size())
 					.with("left_ms", late.expiresAtMs() - nowMs)
 					.write();
 				finish(late, WorkItemOutcome.failed(late.itemId()));
 			}
-			Optional<StageCall> next = this.former.next(open, nowMs);
+			Optional<StageCall> next = this.scheduler.next(open, nowMs);
 			while (next.isPresent()) {
 				send(next.get(), nowMs);
-				next = this.former.next(open, nowMs);
+				next = this.scheduler.next(open, nowMs);
 			}
-			release(this.former.reclaim(nowMs));
+			release(this.scheduler.evict(nowMs));
 		}
 
 		private void send(StageCall call, long nowMs) {
 			call.items().forEach((item) -> this.entries.get(item).calls++);
-			StageDesk.this.metrics.count("stage_calls");
+			StageCallDispatcher.this.metrics.count("stage_calls");
 			EventLog.call("stage_call")
 				.with("service", this.service)
 				.with("endpoint", call.endpoint())
 				.with("pieces", call.items().size())
-				.with("near", this.former.nearCount(call))
+				.with("near", this.scheduler.localCount(call))
 				.with("expected_ms", Math.round(call.expectedMs()))
-				.with("waiting", this.former.waitingCount())
-				.with("late", this.former.lateCount())
-				.with("free_kb", this.former.freeBytes(call.endpoint(), nowMs) / BYTES_PER_KB)
+				.with("waiting", this.scheduler.waitingCount())
+				.with("late", this.scheduler.lateCount())
+				.with("free_kb", this.scheduler.freeBytes(call.endpoint(), nowMs) / BYTES_PER_KB)
 				.write();
 			RunningCall running = new RunningCall(this, call, nowMs);
 			String address = call.endpoint().record().address();
-			running.cancellable = StageDesk.this.pool.send(address, StageRequests.post(address, StageCalls.RUN_PATH,
-					StageCalls.encode(call.items(), nowMs), call.endpoint().record().id()), running);
+			running.cancellable = StageCallDispatcher.this.pool.send(address, StageRequests.post(address,
+					StageCalls.RUN_PATH, StageCalls.encode(call.items(), nowMs), call.endpoint().record().id()),
+					running);
 			double timeoutMs = Math.max(LEAST_CALL_TIMEOUT_MS,
 					call.expectedMs() * CALL_TIMEOUT_FACTOR * Math.max(1, call.endpoint().slowness()));
-			StageDesk.this.loop.schedule(running::inputsRead, READ_INPUTS_MS, TimeUnit.MILLISECONDS);
-			running.timeout = StageDesk.this.loop.schedule(running::timedOut, (long) timeoutMs, TimeUnit.MILLISECONDS);
+			StageCallDispatcher.this.loop.schedule(running::inputsRead, READ_INPUTS_MS, TimeUnit.MILLISECONDS);
+			running.timeout = StageCallDispatcher.this.loop.schedule(running::timedOut, (long) timeoutMs,
+					TimeUnit.MILLISECONDS);
 		}
 
 		private void withdraw(WorkItem item) {
 			this.entries.remove(item);
-			this.former.remove(item);
+			this.scheduler.remove(item);
 		}
 
 		private void finish(WorkItem item, WorkItemOutcome outcome) {
@@ -305,21 +308,21 @@
 			}
 		}
 
-		private void waitAgain(WorkItem item) {
+		private void requeue(WorkItem item) {
 			if (this.entries.containsKey(item)) {
-				this.former.add(item);
+				this.scheduler.add(item);
 			}
 		}
 
-		private void again(WorkItem item, boolean arrived, long nowMs) {
+		private void retry(WorkItem item, boolean mayHaveRun, long nowMs) {
 			Entry entry = this.entries.get(item);
 			if (entry == null) {
 				return;
 			}
-			boolean allowed = entry.calls < MAX_CALLS_PER_ITEM && (!arrived
-					|| StageDesk.this.retries.tryRepeat(this.service, StageDesk.this.vmCount.getAsInt(), nowMs));
+			boolean allowed = entry.calls < MAX_CALLS_PER_ITEM && (!mayHaveRun || StageCallDispatcher.this.retries
+				.tryRepeat(this.service, StageCallDispatcher.this.vmCount.getAsInt(), nowMs));
 			if (allowed) {
-				this.former.add(item);
+				this.scheduler.add(item);
 			}
 			else {
 				finish(item, WorkItemOutcome.failed(item.itemId()));
@@ -345,7 +348,7 @@
 	 */
 	private final class RunningCall implements EndpointCall {
 
-		private final Lane lane;
+		private final ServiceQueue queue;
 
 		private final StageCall call;
 
@@ -361,8 +364,8 @@
 
 		private boolean over;
 
-		private RunningCall(Lane lane, StageCall call, long startedAtMs) {
-			this.lane = lane;
+		private RunningCall(ServiceQueue queue, StageCall call, long startedAtMs) {
+			this.queue = queue;
 			this.call = call;
 			this.startedAtMs = startedAtMs;
 		}
@@ -395,7 +398,7 @@
 				this.call.endpoint().failed(true, nowMs);
 				repeatAll("status_" + this.answer.status(), true, nowMs);
 			}
-			this.lane.pumpSoon();
+			this.queue.scheduleDispatch();
 		}
 
 		private void refused(long nowMs) {
@@ -419,7 +422,7 @@
 				return;
 			}
 			this.call.endpoint().succeeded(nowMs - this.startedAtMs, this.call.expectedMs(), nowMs);
-			StageDesk.this.metrics.time("stage_call", nowMs - this.startedAtMs);
+			StageCallDispatcher.this.metrics.time("stage_call", nowMs - this.startedAtMs);
 			for (int i = 0; i < results.size(); i++) {
 				deliver(this.call.items().get(i), results.get(i), nowMs);
 			}
@@ -428,29 +431,29 @@
 		private void deliver(WorkItem item, WorkItemResult result, long nowMs) {
 			Endpoint endpoint = this.call.endpoint();
 			if (result.failure() == null) {
-				this.lane.former.hold(endpoint, result.handle(), item.resultBytes(), nowMs);
-				this.lane.finish(item,
+				this.queue.scheduler.recordResult(endpoint, result.handle(), item.resultBytes(), nowMs);
+				this.queue.finish(item,
 						WorkItemOutcome.done(item.itemId(), result.handle(), endpoint.record().failureDomain()));
 				return;
 			}
 			EventLog.request("piece_failed", item.attemptId())
-				.with("service", this.lane.service)
+				.with("service", this.queue.service)
 				.with("stage", item.stage())
 				.with("endpoint", endpoint)
 				.with("reason", result.failure())
 				.write();
 			if (result.failure() == WorkItemResult.Failure.LATE) {
-				this.lane.finish(item, WorkItemOutcome.failed(item.itemId()));
+				this.queue.finish(item, WorkItemOutcome.failed(item.itemId()));
 			}
 			else if (result.failure() == WorkItemResult.Failure.INPUT_GONE) {
-				this.lane.finish(item, WorkItemOutcome.inputGone(item.itemId()));
+				this.queue.finish(item, WorkItemOutcome.inputGone(item.itemId()));
 			}
 			else if (result.failure() == WorkItemResult.Failure.NO_ROOM) {
-				this.lane.former.full(endpoint, nowMs);
-				this.lane.waitAgain(item);
+				this.queue.scheduler.recordOutOfSpace(endpoint, nowMs);
+				this.queue.requeue(item);
 			}
 			else {
-				this.lane.again(item, true, nowMs);
+				this.queue.retry(item, true, nowMs);
 			}
 		}
 
@@ -459,7 +462,7 @@
 			long nowMs = close();
 			this.call.endpoint().failed(true, nowMs);
 			repeatAll(failure.name(), failure.maybeRan(), nowMs);
-			this.lane.pumpSoon();
+			this.queue.scheduleDispatch();
 		}
 
 		// The endpoint was idle, so its turn came at once: the inputs may go.
@@ -468,7 +471,7 @@
 				return;
 			}
 			for (WorkItem item : this.call.items()) {
-				Entry entry = this.lane.entries.get(item);
+				Entry entry = this.queue.entries.get(item);
 				if (entry != null && !item.inputs().isEmpty()) {
 					entry.outcome.accept(WorkItemOutcome.inputsRead(item.itemId()));
 				}
@@ -483,18 +486,18 @@
 		private long close() {
 			this.over = true;
 			this.timeout.cancel(false);
-			this.lane.former.ended(this.call);
-			return StageDesk.this.clockMs.getAsLong();
+			this.queue.scheduler.ended(this.call);
+			return StageCallDispatcher.this.clockMs.getAsLong();
 		}
 
-		private void repeatAll(String reason, boolean arrived, long nowMs) {
+		private void repeatAll(String reason, boolean mayHaveRun, long nowMs) {
 			EventLog.state("stage_call_failed")
-				.with("service", this.lane.service)
+				.with("service", this.queue.service)
 				.with("endpoint", this.call.endpoint())
 				.with("pieces", this.call.items().size())
 				.with("reason", reason)
 				.write();
-			this.call.items().forEach((item) -> this.lane.again(item, arrived, nowMs));
+			this.call.items().forEach((item) -> this.queue.retry(item, mayHaveRun, nowMs));
 		}
 
 	}
--- a/entry/src/main/java/org/fulmargap/entry/stage/StageClient.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageClient.java
@@ -23,7 +23,7 @@
 
 	private final EventLoop loop;
 
-	private final StageDesk desk;
+	private final StageCallDispatcher dispatcher;
 
 	private final PeerNetwork peers;
 
@@ -42,12 +42,12 @@
 	/**
 	 * Creates a client.
 	 * @param loop the event loop
-	 * @param desk makes the calls that this VM is in charge of
+	 * @param dispatcher makes the calls that this VM is in charge of
 	 * @param peers the other entry VMs
 	 */
-	public StageClient(EventLoop loop, StageDesk desk, PeerNetwork peers) {
+	public StageClient(EventLoop loop, StageCallDispatcher dispatcher, PeerNetwork peers) {
 		this.loop = loop;
-		this.desk = desk;
+		this.dispatcher = dispatcher;
 		this.peers = peers;
 	}
 
@@ -75,7 +75,7 @@
 	private void dispatch(Submission submission) {
 		submission.owner = this.peers.inCharge(submission.service);
 		if (submission.owner.equals(this.peers.ownName())) {
-			submission.withdrawal = this.desk.submit(submission.service, submission.item, this::finished);
+			submission.withdrawal = this.dispatcher.submit(submission.service, submission.item, this::finished);
 			return;
 		}
 		this.outgoing.computeIfAbsent(new PeerService(submission.owner, submission.service), (key) -> new ArrayList<>())
@@ -140,7 +140,7 @@
 	 * @param service the service of their stage
 	 * @param handles the names of the results
 	 */
-	public void spare(String service, List<String> handles) {
+	public void markEvictable(String service, List<String> handles) {
 		release(new PeerMessage.Release(service, List.copyOf(handles), true));
 	}
 
@@ -156,11 +156,11 @@
 	 * @param release the results
 	 */
 	public void receive(PeerMessage.Release release) {
-		if (release.spare()) {
-			this.desk.spare(release.service(), release.handles());
+		if (release.evictable()) {
+			this.dispatcher.markEvictable(release.service(), release.handles());
 		}
 		else {
-			this.desk.release(release.handles());
+			this.dispatcher.release(release.handles());
 		}
 	}
 
@@ -172,7 +172,7 @@
 	public void receive(String peer, PeerMessage.WorkItems message) {
 		for (WorkItem item : message.items()) {
 			RemoteItem key = new RemoteItem(peer, item.itemId());
-			Runnable withdrawal = this.desk.submit(message.service(), item, (outcome) -> {
+			Runnable withdrawal = this.dispatcher.submit(message.service(), item, (outcome) -> {
 				if (outcome.status().isLast()) {
 					this.withdrawals.remove(key);
 				}
