--- a/core/src/main/java/org/fulmargap/batch/CommittedWork.java
+++ b/core/src/main/java/org/fulmargap/batch/AdmittedWork.java
@@ -8,7 +8,7 @@
  * that have not begun included: of this VM and, from their heartbeats, of its peers.
  * Confined to one thread.
  */
-public final class CommittedWork {
+public final class AdmittedWork {
 
 	/** Requests of lower rank count like those of the lowest rank that is told apart. */
 	public static final int RANKS = 4;
@@ -57,7 +57,7 @@
 	 * @param items its pieces by rank, by service
 	 * @param nowMs the present time in milliseconds
 	 */
-	public void reported(String peer, Map<String, int[]> items, long nowMs) {
+	public void recordReport(String peer, Map<String, int[]> items, long nowMs) {
 		this.reports.put(peer, new Report(Map.copyOf(items), nowMs));
 	}
 
@@ -68,7 +68,7 @@
 	 * @param nowMs the present time in milliseconds
 	 * @return the number of pieces of all VMs that are as urgent or more urgent
 	 */
-	public int before(String service, int rank, long nowMs) {
+	public int itemsAhead(String service, int rank, long nowMs) {
 		int sum = sum(this.own.get(service), rank);
 		for (Report report : this.reports.values()) {
 			if (nowMs - report.reportedAtMs() < REPORT_LIFETIME_MS) {
--- a/core/src/main/java/org/fulmargap/batch/BatchScheduler.java
+++ b/core/src/main/java/org/fulmargap/batch/BatchScheduler.java
@@ -59,7 +59,7 @@
 	private StageCapacity capacity;
 
 	/**
-	 * Creates a former.
+	 * Creates a scheduler.
 	 * @param capacity what one endpoint can take
 	 */
 	public BatchScheduler(StageCapacity capacity) {
--- a/core/src/main/java/org/fulmargap/batch/PipelineAdmission.java
+++ b/core/src/main/java/org/fulmargap/batch/PipelineAdmission.java
@@ -14,7 +14,7 @@
 	private static final long UNLOADED_SLACK_MS = 100;
 
 	/** The shortest time after which a caller is asked back, in milliseconds. */
-	private static final long LEAST_RETURN_MS = 300;
+	private static final long MIN_RETRY_AFTER_MS = 300;
 
 	private PipelineAdmission() {
 	}
@@ -23,17 +23,17 @@
 	 * Decides.
 	 * @param expected when the request is expected to be answered
 	 * @param objectiveMs the time within which the answer is on time, in milliseconds
-	 * @param patienceMs how long the caller waits from now, in milliseconds
+	 * @param maxWaitMs how long the caller waits from now, in milliseconds
 	 * @return the decision
 	 */
-	public static Decision decide(Expected expected, long objectiveMs, long patienceMs) {
+	public static Decision decide(ExpectedTimes expected, long objectiveMs, long maxWaitMs) {
 		// Stages that take the whole objective without any load are no reason to refuse.
 		double limitMs = Math.max(objectiveMs - FIRST_EVENT_MS, expected.unloadedMs() + UNLOADED_SLACK_MS);
 		boolean inTime = expected.stagesMs() <= limitMs;
-		if (inTime && expected.stagesMs() + expected.promptMs() <= patienceMs) {
+		if (inTime && expected.stagesMs() + expected.promptMs() <= maxWaitMs) {
 			return new Decision(true, 0);
 		}
-		return new Decision(false, (long) Math.max(LEAST_RETURN_MS, expected.stagesMs() - objectiveMs));
+		return new Decision(false, (long) Math.max(MIN_RETRY_AFTER_MS, expected.stagesMs() - objectiveMs));
 	}
 
 	/**
@@ -45,16 +45,16 @@
 	 * @param promptMs the time that an engine then needs to read the prompt, in
 	 * milliseconds
 	 */
-	public record Expected(double stagesMs, double unloadedMs, double promptMs) {
+	public record ExpectedTimes(double stagesMs, double unloadedMs, double promptMs) {
 	}
 
 	/**
 	 * A decision.
 	 *
 	 * @param admitted whether the request is taken
-	 * @param returnAfterMs when there is expected to be room again, in milliseconds
+	 * @param retryAfterMs when there is expected to be room again, in milliseconds
 	 */
-	public record Decision(boolean admitted, long returnAfterMs) {
+	public record Decision(boolean admitted, long retryAfterMs) {
 	}
 
 }
--- a/core/src/main/java/org/fulmargap/batch/PipelineEstimate.java
+++ b/core/src/main/java/org/fulmargap/batch/PipelineEstimate.java
@@ -51,14 +51,14 @@
 	 *
 	 * @param capacity what one endpoint can take
 	 * @param endpoints the endpoints that work, in units of endpoints of usual speed
-	 * @param piecesBefore the pieces that go before those of the request
+	 * @param itemsAhead the pieces that go before those of the request
 	 * @param depth the stages on the longest way to the end of this one, itself included
 	 */
-	public record StageLoad(StageCapacity capacity, double endpoints, int piecesBefore, int depth) {
+	public record StageLoad(StageCapacity capacity, double endpoints, int itemsAhead, int depth) {
 
 		private double waitMs() {
 			double fullMs = this.capacity.callOverheadMs() + this.capacity.batch() * this.capacity.itemMs();
-			return this.piecesBefore * fullMs / this.capacity.batch() / Math.max(LEAST_ENDPOINTS, this.endpoints);
+			return this.itemsAhead * fullMs / this.capacity.batch() / Math.max(LEAST_ENDPOINTS, this.endpoints);
 		}
 
 		private double usualCallMs() {
--- a/core/src/main/java/org/fulmargap/batch/WorkingEndpoints.java
+++ b/core/src/main/java/org/fulmargap/batch/WorkingEndpoints.java
@@ -22,7 +22,7 @@
 	 * @param endpoints the endpoints by service
 	 * @param nowMs the present time in milliseconds
 	 */
-	public void reported(String vm, Map<String, Double> endpoints, long nowMs) {
+	public void recordReport(String vm, Map<String, Double> endpoints, long nowMs) {
 		this.reports.put(vm, new Report(Map.copyOf(endpoints), nowMs));
 	}
 
--- a/core/src/main/java/org/fulmargap/catalog/Route.java
+++ b/core/src/main/java/org/fulmargap/catalog/Route.java
@@ -27,13 +27,13 @@
 		boolean anonymous, boolean resumable) {
 
 	/** Callers wait at least this long for an event of a stream, in milliseconds. */
-	private static final long LEAST_PATIENCE_MS = 2_000;
+	private static final long MIN_MAX_WAIT_MS = 2_000;
 
 	/** Callers wait for an event of a stream for the objective times this. */
-	private static final long PATIENCE_OBJECTIVES = 4;
+	private static final long MAX_WAIT_OBJECTIVES = 4;
 
 	/** Callers wait for an event of a stream for the longest good pause times this. */
-	private static final long PATIENCE_PAUSES = 8;
+	private static final long MAX_WAIT_PAUSES = 8;
 
 	/**
 	 * Creates a route.
@@ -58,12 +58,12 @@
 	 * Returns how long a caller waits for the first event, or for the answer.
 	 * @return the time in milliseconds
 	 */
-	public long patienceMs() {
+	public long maxWaitMs() {
 		if (!this.kind.isStreaming()) {
 			return this.timeoutMs;
 		}
-		long longestMs = Math.max(this.objectiveMs * PATIENCE_OBJECTIVES, this.pauseMs * PATIENCE_PAUSES);
-		return Math.min(this.timeoutMs, Math.max(LEAST_PATIENCE_MS, longestMs));
+		long longestMs = Math.max(this.objectiveMs * MAX_WAIT_OBJECTIVES, this.pauseMs * MAX_WAIT_PAUSES);
+		return Math.min(this.timeoutMs, Math.max(MIN_MAX_WAIT_MS, longestMs));
 	}
 
 	/**
--- a/core/src/main/java/org/fulmargap/placement/Endpoint.java
+++ b/core/src/main/java/org/fulmargap/placement/Endpoint.java
@@ -84,7 +84,7 @@
 	 * @param coldForMs how long it stays cold, in milliseconds
 	 * @param nowMs the present time in milliseconds
 	 */
-	public void reportedCold(long coldForMs, long nowMs) {
+	public void markCold(long coldForMs, long nowMs) {
 		this.coldUntilMs = Math.max(this.coldUntilMs, nowMs + coldForMs);
 	}
 
@@ -195,7 +195,7 @@
 	 * @param peer the name of the peer
 	 * @param load what it has in flight here
 	 */
-	public void reported(String peer, PeerLoad load) {
+	public void recordReport(String peer, PeerLoad load) {
 		this.peerLoads.put(peer, load);
 	}
 
--- a/core/src/test/java/org/fulmargap/batch/CommittedWorkTests.java
+++ b/core/src/test/java/org/fulmargap/batch/AdmittedWorkTests.java
@@ -9,37 +9,37 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests of {@link CommittedWork} and {@link PipelineEstimate}.
+ * Tests of {@link AdmittedWork} and {@link PipelineEstimate}.
  */
-class CommittedWorkTests {
+class AdmittedWorkTests {
 
-	private final CommittedWork work = new CommittedWork();
+	private final AdmittedWork work = new AdmittedWork();
 
 	@Test
 	void itemsOfAllVmsGoBeforeANewRequest() {
 		this.work.add("service", 0, 5);
-		this.work.reported("peer", Map.of("service", new int[] { 1, 2, 0, 0 }), 0);
-		assertThat(this.work.before("service", 1, 10)).isEqualTo(8);
+		this.work.recordReport("peer", Map.of("service", new int[] { 1, 2, 0, 0 }), 0);
+		assertThat(this.work.itemsAhead("service", 1, 10)).isEqualTo(8);
 	}
 
 	@Test
 	void lessUrgentItemsDoNot() {
 		this.work.add("service", 2, 5);
-		assertThat(this.work.before("service", 1, 0)).isZero();
-		assertThat(this.work.before("service", 9, 0)).isEqualTo(5);
+		assertThat(this.work.itemsAhead("service", 1, 0)).isZero();
+		assertThat(this.work.itemsAhead("service", 9, 0)).isEqualTo(5);
 	}
 
 	@Test
 	void aSilentPeersReportIsForgotten() {
-		this.work.reported("peer", Map.of("service", new int[] { 4, 0, 0, 0 }), 0);
-		assertThat(this.work.before("service", 0, 5_000)).isZero();
+		this.work.recordReport("peer", Map.of("service", new int[] { 4, 0, 0, 0 }), 0);
+		assertThat(this.work.itemsAhead("service", 0, 5_000)).isZero();
 	}
 
 	@Test
 	void finishedItemsNoLongerCount() {
 		this.work.add("service", 0, 5);
 		this.work.remove("service", 0, 5);
-		assertThat(this.work.before("service", 0, 0)).isZero();
+		assertThat(this.work.itemsAhead("service", 0, 0)).isZero();
 	}
 
 	@Test
--- a/core/src/test/java/org/fulmargap/batch/PipelineLoad.java
+++ b/core/src/test/java/org/fulmargap/batch/PipelineLoad.java
@@ -19,7 +19,7 @@
  */
 final class PipelineLoad {
 
-	private static final long PATIENCE_MS = 6_000;
+	private static final long MAX_WAIT_MS = 6_000;
 
 	private static final long ENGINE_MS = 100;
 
@@ -44,7 +44,7 @@
 
 	private final long objectiveMs;
 
-	private final List<CommittedWork> vms = new ArrayList<>();
+	private final List<AdmittedWork> vms = new ArrayList<>();
 
 	private final boolean sparing;
 
@@ -71,7 +71,7 @@
 		this.objectiveMs = objectiveMs;
 		this.heartbeatMs = heartbeatMs;
 		for (int i = 0; i < VMS; i++) {
-			this.vms.add(new CommittedWork());
+			this.vms.add(new AdmittedWork());
 		}
 		this.playMs = playMs;
 	}
@@ -162,9 +162,9 @@
 	}
 
 	private void heartbeat(int vm) {
-		for (CommittedWork other : this.vms) {
+		for (AdmittedWork other : this.vms) {
 			if (other != this.vms.get(vm)) {
-				other.reported("vm" + vm, this.vms.get(vm).own(), (long) this.nowMs);
+				other.recordReport("vm" + vm, this.vms.get(vm).own(), (long) this.nowMs);
 			}
 		}
 		if (this.nowMs < this.playMs) {
@@ -269,9 +269,9 @@
 
 		private boolean failed;
 
-		private final CommittedWork vm;
+		private final AdmittedWork vm;
 
-		private Request(CommittedWork vm) {
+		private Request(AdmittedWork vm) {
 			this.vm = vm;
 		}
 
@@ -281,11 +281,11 @@
 			for (int i = 0; i < PipelineLoad.this.stages.size(); i++) {
 				Stage stage = PipelineLoad.this.stages.get(i);
 				loads.add(new PipelineEstimate.StageLoad(stage.capacity, stage.endpoints.size(),
-						this.vm.before(stage.name, 0, (long) PipelineLoad.this.nowMs), i + 1));
+						this.vm.itemsAhead(stage.name, 0, (long) PipelineLoad.this.nowMs), i + 1));
 			}
-			PipelineAdmission.Expected expected = new PipelineAdmission.Expected(PipelineEstimate.stagesMs(loads),
-					PipelineEstimate.unloadedMs(loads), 0);
-			if (!PipelineAdmission.decide(expected, PipelineLoad.this.objectiveMs, PATIENCE_MS).admitted()) {
+			PipelineAdmission.ExpectedTimes expected = new PipelineAdmission.ExpectedTimes(
+					PipelineEstimate.stagesMs(loads), PipelineEstimate.unloadedMs(loads), 0);
+			if (!PipelineAdmission.decide(expected, PipelineLoad.this.objectiveMs, MAX_WAIT_MS).admitted()) {
 				PipelineLoad.this.refused++;
 				return;
 			}
@@ -310,7 +310,7 @@
 				PipelineLoad.this.numbers++;
 				stage.scheduler.add(new WorkItem(PipelineLoad.this.numbers, this.id, this.stageIndex, i, "",
 						this.inputs, (this.stageIndex == 2) ? this.domain : "", 0, dueAtMs,
-						(long) this.arrivedAtMs + PATIENCE_MS - behindMs, stage.resultBytes));
+						(long) this.arrivedAtMs + MAX_WAIT_MS - behindMs, stage.resultBytes));
 			}
 			after(0, stage::dispatch);
 		}
--- a/core/src/test/java/org/fulmargap/batch/WorkingEndpointsTests.java
+++ b/core/src/test/java/org/fulmargap/batch/WorkingEndpointsTests.java
@@ -15,14 +15,14 @@
 
 	@Test
 	void theVmInChargeKnowsBest() {
-		this.endpoints.reported("in-charge", Map.of("stage", 1.5), 0);
-		this.endpoints.reported("other", Map.of("stage", 4.0), 0);
+		this.endpoints.recordReport("in-charge", Map.of("stage", 1.5), 0);
+		this.endpoints.recordReport("other", Map.of("stage", 4.0), 0);
 		assertThat(this.endpoints.count("stage", "in-charge", 4, 100)).isEqualTo(1.5);
 	}
 
 	@Test
 	void withoutAFreshReportTheListCounts() {
-		this.endpoints.reported("in-charge", Map.of("stage", 1.5), 0);
+		this.endpoints.recordReport("in-charge", Map.of("stage", 1.5), 0);
 		assertThat(this.endpoints.count("stage", "in-charge", 4, 5_000)).isEqualTo(4);
 		assertThat(this.endpoints.count("other stage", "in-charge", 3, 100)).isEqualTo(3);
 		assertThat(this.endpoints.count("stage", "unheard", 3, 100)).isEqualTo(3);
@@ -30,7 +30,7 @@
 
 	@Test
 	void endpointsThatLeftDoNotCount() {
-		this.endpoints.reported("in-charge", Map.of("stage", 4.0), 0);
+		this.endpoints.recordReport("in-charge", Map.of("stage", 4.0), 0);
 		assertThat(this.endpoints.count("stage", "in-charge", 3, 100)).isEqualTo(3);
 	}
 
--- a/core/src/test/java/org/fulmargap/placement/PlacementTests.java
+++ b/core/src/test/java/org/fulmargap/placement/PlacementTests.java
@@ -52,7 +52,7 @@
 			Endpoint one = Endpoints.ready("one", "a");
 			Endpoint two = Endpoints.ready("two", "a");
 			two.peerSent(prompt("shared", "first"), 300_000);
-			two.reported("peer", new PeerLoad(20, 60_000, 0));
+			two.recordReport("peer", new PeerLoad(20, 60_000, 0));
 			Choice choice = PlacementTests.this.placement
 				.choose(List.of(one, two), Set.of(), PlacementTests.this.engines, demand(prompt("shared", "second")), 7,
 						0)
--- a/entry/src/main/java/org/fulmargap/entry/EntryVm.java
+++ b/entry/src/main/java/org/fulmargap/entry/EntryVm.java
@@ -10,7 +10,7 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
-import org.fulmargap.batch.CommittedWork;
+import org.fulmargap.batch.AdmittedWork;
 import org.fulmargap.batch.WorkingEndpoints;
 import org.fulmargap.entry.caller.CallerServer;
 import org.fulmargap.entry.endpoint.EndpointPool;
@@ -70,7 +70,7 @@
 
 	private final CrashQuarantine quarantine = new CrashQuarantine(MAX_FINGERPRINTS, STRIKES_TO_QUARANTINE);
 
-	private final CommittedWork committed = new CommittedWork();
+	private final AdmittedWork admittedWork = new AdmittedWork();
 
 	private final WorkingEndpoints working = new WorkingEndpoints();
 
@@ -104,7 +104,7 @@
 				this.peers::vmCount, this.metrics);
 		this.stages = new StageClient(this.loop, this.dispatcher, this.peers);
 		RequestServices services = new RequestServices(this.loop, this.clockMs, this.view,
-				new Placement(settings.failureDomain()), retries, this.quarantine, pool, this.stages, this.committed,
+				new Placement(settings.failureDomain()), retries, this.quarantine, pool, this.stages, this.admittedWork,
 				this.working, this.peers, new ServiceTimes(), new CallerTimes(), this.metrics);
 		this.router = new RequestRouter(services);
 		this.callers = new CallerServer(this.loop, this.clockMs, this.view::limits, this.router);
@@ -175,7 +175,7 @@
 	public void received(String peer, PeerMessage message) {
 		long nowMs = this.clockMs.getAsLong();
 		if (message instanceof PeerMessage.Heartbeat heartbeat) {
-			reported(peer, heartbeat, nowMs);
+			recordReport(peer, heartbeat, nowMs);
 		}
 		else if (message instanceof PeerMessage.PromptSent sent) {
 			this.view.directory().find(sent.endpoint()).ifPresent((endpoint) -> promptSent(endpoint, sent));
@@ -208,17 +208,17 @@
 		}
 	}
 
-	private void reported(String peer, PeerMessage.Heartbeat heartbeat, long nowMs) {
-		this.committed.reported(peer, heartbeat.committedPieces(), nowMs);
-		this.working.reported(peer, heartbeat.workingEndpoints(), nowMs);
+	private void recordReport(String peer, PeerMessage.Heartbeat heartbeat, long nowMs) {
+		this.admittedWork.recordReport(peer, heartbeat.admittedItems(), nowMs);
+		this.working.recordReport(peer, heartbeat.workingEndpoints(), nowMs);
 		this.watch.peerKnows(peer, heartbeat.nextOffsets(), nowMs);
 		for (Endpoint endpoint : this.view.directory().all()) {
-			endpoint.reported(peer, new PeerLoad(0, 0, nowMs));
+			endpoint.recordReport(peer, new PeerLoad(0, 0, nowMs));
 		}
 		for (PeerMessage.Load load : heartbeat.loads()) {
 			this.view.directory()
 				.find(load.endpoint())
-				.ifPresent((endpoint) -> endpoint.reported(peer,
+				.ifPresent((endpoint) -> endpoint.recordReport(peer,
 						new PeerLoad(load.inFlight(), load.prefillTokens(), nowMs)));
 		}
 	}
@@ -243,13 +243,13 @@
 	@Override
 	public Map<String, Double> workingEndpoints() {
 		Map<String, Double> own = this.dispatcher.workingEndpoints();
-		this.working.reported(this.settings.vm(), own, this.clockMs.getAsLong());
+		this.working.recordReport(this.settings.vm(), own, this.clockMs.getAsLong());
 		return own;
 	}
 
 	@Override
-	public Map<String, int[]> committedPieces() {
-		return this.committed.own();
+	public Map<String, int[]> admittedItems() {
+		return this.admittedWork.own();
 	}
 
 	@Override
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerCodec.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerCodec.java
@@ -52,7 +52,7 @@
 			for (PeerMessage.Load load : heartbeat.loads()) {
 				out.packString(load.endpoint()).packInt(load.inFlight()).packLong(load.prefillTokens());
 			}
-			writeCommitted(out, heartbeat.committedPieces());
+			writeAdmitted(out, heartbeat.admittedItems());
 			writeWorking(out, heartbeat.workingEndpoints());
 			out.packArrayHeader(heartbeat.nextOffsets().size());
 			for (long offset : heartbeat.nextOffsets()) {
@@ -121,9 +121,9 @@
 		return working;
 	}
 
-	private static void writeCommitted(MessageBufferPacker out, Map<String, int[]> committed) throws IOException {
-		out.packMapHeader(committed.size());
-		for (Map.Entry<String, int[]> service : committed.entrySet()) {
+	private static void writeAdmitted(MessageBufferPacker out, Map<String, int[]> admitted) throws IOException {
+		out.packMapHeader(admitted.size());
+		for (Map.Entry<String, int[]> service : admitted.entrySet()) {
 			out.packString(service.getKey()).packArrayHeader(service.getValue().length);
 			for (int items : service.getValue()) {
 				out.packInt(items);
@@ -131,17 +131,17 @@
 		}
 	}
 
-	private static Map<String, int[]> readCommitted(MessageUnpacker in) throws IOException {
-		Map<String, int[]> committed = new HashMap<>();
+	private static Map<String, int[]> readAdmitted(MessageUnpacker in) throws IOException {
+		Map<String, int[]> admitted = new HashMap<>();
 		for (int i = readMapSize(in); i > 0; i--) {
 			String service = in.unpackString();
 			int[] byRank = new int[readSize(in)];
 			for (int rank = 0; rank < byRank.length; rank++) {
 				byRank[rank] = in.unpackInt();
 			}
-			committed.put(service, byRank);
+			admitted.put(service, byRank);
 		}
-		return committed;
+		return admitted;
 	}
 
 	private static List<Long> readOffsets(MessageUnpacker in) throws IOException {
@@ -235,7 +235,7 @@
 		for (int i = readSize(in); i > 0; i--) {
 			loads.add(new PeerMessage.Load(in.unpackString(), in.unpackInt(), in.unpackLong()));
 		}
-		return new PeerMessage.Heartbeat(draining, hearsReceiver, loads, readCommitted(in), readWorking(in),
+		return new PeerMessage.Heartbeat(draining, hearsReceiver, loads, readAdmitted(in), readWorking(in),
 				readOffsets(in));
 	}
 
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerListener.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerListener.java
@@ -31,7 +31,7 @@
 	 * Returns the pieces that this VM's requests still need, for heartbeats.
 	 * @return the pieces by rank, by service
 	 */
-	Map<String, int[]> committedPieces();
+	Map<String, int[]> admittedItems();
 
 	/**
 	 * Returns the endpoints that work, of the services that this VM makes calls to, for
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerMessage.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerMessage.java
@@ -31,13 +31,13 @@
 	 * @param hearsReceiver whether the sender hears the receiver; a connection can go
 	 * silent without being closed, which only the other end notices
 	 * @param loads what it has in flight, only for endpoints with load
-	 * @param committedPieces the pieces that its requests still need, by rank, by service
+	 * @param admittedItems the pieces that its requests still need, by rank, by service
 	 * @param workingEndpoints the endpoints that work, of the services that the sender
 	 * makes calls to, in units of endpoints of usual speed
 	 * @param nextOffsets how far it knows each topic of the store, in the order of the
 	 * topics
 	 */
-	record Heartbeat(boolean draining, boolean hearsReceiver, List<Load> loads, Map<String, int[]> committedPieces,
+	record Heartbeat(boolean draining, boolean hearsReceiver, List<Load> loads, Map<String, int[]> admittedItems,
 			Map<String, Double> workingEndpoints, List<Long> nextOffsets) implements PeerMessage {
 	}
 
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerNetwork.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerNetwork.java
@@ -267,15 +267,15 @@
 	/**
 	 * What the heartbeats to all peers have in common.
 	 */
-	private record HeartbeatContent(List<PeerMessage.Load> loads, Map<String, int[]> committedPieces,
+	private record HeartbeatContent(List<PeerMessage.Load> loads, Map<String, int[]> admittedItems,
 			Map<String, Double> workingEndpoints, List<Long> nextOffsets) {
 
 		private static HeartbeatContent of(PeerListener own) {
-			return new HeartbeatContent(own.loads(), own.committedPieces(), own.workingEndpoints(), own.nextOffsets());
+			return new HeartbeatContent(own.loads(), own.admittedItems(), own.workingEndpoints(), own.nextOffsets());
 		}
 
 		private PeerMessage.Heartbeat heartbeat(boolean draining, boolean hearsReceiver) {
-			return new PeerMessage.Heartbeat(draining, hearsReceiver, this.loads, this.committedPieces,
+			return new PeerMessage.Heartbeat(draining, hearsReceiver, this.loads, this.admittedItems,
 					this.workingEndpoints, this.nextOffsets);
 		}
 
--- a/entry/src/main/java/org/fulmargap/entry/request/Refusal.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/Refusal.java
@@ -41,19 +41,19 @@
 
 	private final int status;
 
-	private final long returnAfterMs;
+	private final long retryAfterMs;
 
-	Refusal(int status, long returnAfterMs) {
+	Refusal(int status, long retryAfterMs) {
 		this.status = status;
-		this.returnAfterMs = returnAfterMs;
+		this.retryAfterMs = retryAfterMs;
 	}
 
 	int status() {
 		return this.status;
 	}
 
-	long returnAfterMs() {
-		return this.returnAfterMs;
+	long retryAfterMs() {
+		return this.retryAfterMs;
 	}
 
 }
--- a/entry/src/main/java/org/fulmargap/entry/request/RefusalAnswer.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/RefusalAnswer.java
@@ -35,13 +35,13 @@
 	 * Sends the answer.
 	 * @param exchange the request
 	 * @param refusal why it isn't served
-	 * @param returnAfterMs when the caller may come back, in milliseconds; 0 for never
+	 * @param retryAfterMs when the caller may come back, in milliseconds; 0 for never
 	 * @param leftMs how long the caller still waits, in milliseconds
 	 */
-	static void send(CallerExchange exchange, Refusal refusal, long returnAfterMs, long leftMs) {
+	static void send(CallerExchange exchange, Refusal refusal, long retryAfterMs, long leftMs) {
 		HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
-		if (returnAfterMs > 0) {
-			headers.set(HttpHeaderNames.RETRY_AFTER, retryAfter(returnAfterMs, leftMs));
+		if (retryAfterMs > 0) {
+			headers.set(HttpHeaderNames.RETRY_AFTER, retryAfter(retryAfterMs, leftMs));
 		}
 		headers.set(HttpHeaderNames.CONTENT_TYPE, "application/json");
 		ByteBuf body = Unpooled.copiedBuffer("{\"error\":\"" + refusal.name() + "\"}", StandardCharsets.UTF_8);
@@ -49,9 +49,9 @@
 	}
 
 	// Callers that were refused together come back at different times.
-	private static String retryAfter(long returnAfterMs, long leftMs) {
+	private static String retryAfter(long retryAfterMs, long leftMs) {
 		double spread = 1 - SPREAD / 2 + SPREAD * ThreadLocalRandom.current().nextDouble();
-		double afterMs = Math.min(returnAfterMs, leftMs * RETRY_AFTER_SHARE) * spread;
+		double afterMs = Math.min(retryAfterMs, leftMs * RETRY_AFTER_SHARE) * spread;
 		return String.format(Locale.ROOT, "%.2f", afterMs / MS_PER_SECOND);
 	}
 
--- a/entry/src/main/java/org/fulmargap/entry/request/RequestFlow.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/RequestFlow.java
@@ -48,13 +48,13 @@
 	/**
 	 * A repeatable call without sign of life is repeated after its usual time times this.
 	 */
-	private static final double PATIENCE_FACTOR = 4;
+	private static final double RESPONSE_TIMEOUT_FACTOR = 4;
 
 	/** The least time before a repeatable call is repeated, in milliseconds. */
-	private static final long LEAST_PATIENCE_MS = 120;
+	private static final long MIN_RESPONSE_TIMEOUT_MS = 120;
 
 	/** How long a resumable stream may pause before it goes on elsewhere, in ms. */
-	private static final long STREAM_PATIENCE_MS = 1_500;
+	private static final long STREAM_RESPONSE_TIMEOUT_MS = 1_500;
 
 	/** How long to wait before an endpoint without room is asked for again, in ms. */
 	private static final long NO_ENDPOINT_PAUSE_MS = 40;
@@ -119,10 +119,10 @@
 		this.endsAtMs = this.arrivedAtMs + timeMs;
 		this.elapsedMs = services.callerTimes().elapsedMs(route.name(), request.timeLeftMs());
 		Optional<Choice> engine = probableEngine();
-		this.stageRun = new StageRun(services.clockMs(), services.stages(), services.committed(), route, request,
+		this.stageRun = new StageRun(services.clockMs(), services.stages(), services.admittedWork(), route, request,
 				engine.map((choice) -> choice.endpoint().record().failureDomain()).orElse(""), promptMs(engine),
 				priority(), this.arrivedAtMs - this.elapsedMs + route.objectiveMs(),
-				this.arrivedAtMs + Math.min(timeMs, route.patienceMs()), this);
+				this.arrivedAtMs + Math.min(timeMs, route.maxWaitMs()), this);
 	}
 
 	// The engine that would run the request if its stages were done now.
@@ -158,20 +158,20 @@
 	}
 
 	private boolean isAdmitted() {
-		PipelineAdmission.Expected expected = this.stageRun.estimate(this.services::workingEndpoints, this.catalog,
+		PipelineAdmission.ExpectedTimes expected = this.stageRun.estimate(this.services::workingEndpoints, this.catalog,
 				this.arrivedAtMs);
-		long patienceMs = Math.min(this.endsAtMs - this.arrivedAtMs, this.route.patienceMs());
-		PipelineAdmission.Decision decision = PipelineAdmission.decide(expected, this.route.objectiveMs(), patienceMs);
+		long maxWaitMs = Math.min(this.endsAtMs - this.arrivedAtMs, this.route.maxWaitMs());
+		PipelineAdmission.Decision decision = PipelineAdmission.decide(expected, this.route.objectiveMs(), maxWaitMs);
 		if (!decision.admitted()) {
 			EventLog.request("not_admitted", this.request.attemptId())
 				.with("stages_ms", Math.round(expected.stagesMs()))
 				.with("prompt_ms", Math.round(expected.promptMs()))
 				.with("objective_ms", this.route.objectiveMs())
 				.with("elapsed_ms", this.elapsedMs)
-				.with("patience_ms", patienceMs)
+				.with("patience_ms", maxWaitMs)
 				.with("rank", priority())
 				.write();
-			refuse(Refusal.OVERLOADED, decision.returnAfterMs());
+			refuse(Refusal.OVERLOADED, decision.retryAfterMs());
 		}
 		return decision.admitted();
 	}
@@ -236,10 +236,10 @@
 	}
 
 	private void refuse(Refusal refusal) {
-		refuse(refusal, refusal.returnAfterMs());
+		refuse(refusal, refusal.retryAfterMs());
 	}
 
-	private void refuse(Refusal refusal, long returnAfterMs) {
+	private void refuse(Refusal refusal, long retryAfterMs) {
 		if (this.over) {
 			return;
 		}
@@ -259,7 +259,7 @@
 			return;
 		}
 		finish();
-		RefusalAnswer.send(this.exchange, refusal, returnAfterMs, leftMs);
+		RefusalAnswer.send(this.exchange, refusal, retryAfterMs, leftMs);
 	}
 
 	@Override
@@ -351,7 +351,7 @@
 
 		private boolean firstSeen;
 
-		private Future<?> patience;
+		private Future<?> responseTimeout;
 
 		private Call(Choice choice, long nowMs) {
 			this.choice = choice;
@@ -387,9 +387,9 @@
 				return;
 			}
 			double usualMs = flow.services.times().expectedMs(flow.service.name());
-			long patienceMs = (flow.route.kind().isStreaming()) ? STREAM_PATIENCE_MS
-					: (long) Math.max(LEAST_PATIENCE_MS, usualMs * PATIENCE_FACTOR);
-			this.patience = flow.services.loop().schedule(this::silent, patienceMs, TimeUnit.MILLISECONDS);
+			long timeoutMs = (flow.route.kind().isStreaming()) ? STREAM_RESPONSE_TIMEOUT_MS
+					: (long) Math.max(MIN_RESPONSE_TIMEOUT_MS, usualMs * RESPONSE_TIMEOUT_FACTOR);
+			this.responseTimeout = flow.services.loop().schedule(this::silent, timeoutMs, TimeUnit.MILLISECONDS);
 		}
 
 		private void silent() {
@@ -419,7 +419,7 @@
 			this.answer = newAnswer;
 			this.head = newHead;
 			if (newAnswer.coldForMs() > 0) {
-				this.endpoint.reportedCold(newAnswer.coldForMs(), RequestFlow.this.services.nowMs());
+				this.endpoint.markCold(newAnswer.coldForMs(), RequestFlow.this.services.nowMs());
 			}
 			if (!isStream()) {
 				this.buffered = Unpooled.buffer();
@@ -442,14 +442,14 @@
 			ByteBuf whole = RequestFlow.this.events.add(content);
 			if (whole != null) {
 				firstSeen();
-				restartPatience();
+				restartResponseTimeout();
 				forward(whole);
 			}
 		}
 
-		private void restartPatience() {
-			if (this.patience != null) {
-				this.patience.cancel(false);
+		private void restartResponseTimeout() {
+			if (this.responseTimeout != null) {
+				this.responseTimeout.cancel(false);
 				watch();
 			}
 		}
@@ -588,8 +588,8 @@
 			if (!this.firstSeen) {
 				this.endpoint.firstEvent(this.unreadTokens);
 			}
-			if (this.patience != null) {
-				this.patience.cancel(false);
+			if (this.responseTimeout != null) {
+				this.responseTimeout.cancel(false);
 			}
 		}
 
--- a/entry/src/main/java/org/fulmargap/entry/request/RequestRouter.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/RequestRouter.java
@@ -85,7 +85,7 @@
 			.write();
 		this.services.metrics().count("refused_" + refusal.name().toLowerCase(Locale.ROOT));
 		http.release();
-		RefusalAnswer.send(exchange, refusal, refusal.returnAfterMs(), Math.max(0, request.timeLeftMs()));
+		RefusalAnswer.send(exchange, refusal, refusal.retryAfterMs(), Math.max(0, request.timeLeftMs()));
 		return null;
 	}
 
--- a/entry/src/main/java/org/fulmargap/entry/request/RequestServices.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/RequestServices.java
@@ -3,7 +3,7 @@
 import java.util.function.LongSupplier;
 
 import io.netty.channel.EventLoop;
-import org.fulmargap.batch.CommittedWork;
+import org.fulmargap.batch.AdmittedWork;
 import org.fulmargap.batch.WorkingEndpoints;
 import org.fulmargap.entry.EntryMetrics;
 import org.fulmargap.entry.EventLog;
@@ -28,7 +28,7 @@
  * @param quarantine requests that crash endpoints
  * @param pool connections to endpoints
  * @param stages runs stages
- * @param committed the pieces that admitted requests still need
+ * @param admittedWork the pieces that admitted requests still need
  * @param working the stage endpoints that work
  * @param peers the other entry VMs
  * @param times usual times of services
@@ -37,7 +37,7 @@
  */
 public record RequestServices(EventLoop loop, LongSupplier clockMs, StoreView view, Placement placement,
 		RetryAllowance retries, CrashQuarantine quarantine, EndpointPool pool, StageClient stages,
-		CommittedWork committed, WorkingEndpoints working, PeerNetwork peers, ServiceTimes times,
+		AdmittedWork admittedWork, WorkingEndpoints working, PeerNetwork peers, ServiceTimes times,
 		CallerTimes callerTimes, EntryMetrics metrics) {
 
 	/**
--- a/entry/src/main/java/org/fulmargap/entry/request/StageProgress.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/StageProgress.java
@@ -25,7 +25,7 @@
 
 	private int done;
 
-	private int committed;
+	private int admitted;
 
 	private boolean started;
 
@@ -133,25 +133,25 @@
 		this.outcomes[index] = outcome;
 		this.inputsRead[index] = true;
 		this.done++;
-		this.committed--;
+		this.admitted--;
 	}
 
 	/**
 	 * Commits to all pieces.
 	 * @return the number of pieces that count as work from now on
 	 */
-	int commit() {
-		this.committed = this.outcomes.length;
-		return this.committed;
+	int admit() {
+		this.admitted = this.outcomes.length;
+		return this.admitted;
 	}
 
 	/**
 	 * Gives up what is left.
 	 * @return the number of pieces that count as work no more
 	 */
-	int takeCommitted() {
-		int left = this.committed;
-		this.committed = 0;
+	int takeAdmitted() {
+		int left = this.admitted;
+		this.admitted = 0;
 		return left;
 	}
 
@@ -171,7 +171,7 @@
 	 */
 	int forget() {
 		int again = this.done;
-		this.committed += again;
+		this.admitted += again;
 		this.done = 0;
 		this.released = false;
 		Arrays.fill(this.outcomes, null);
--- a/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
@@ -8,7 +8,7 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.Stream;
 
-import org.fulmargap.batch.CommittedWork;
+import org.fulmargap.batch.AdmittedWork;
 import org.fulmargap.batch.PipelineAdmission;
 import org.fulmargap.batch.PipelineEstimate;
 import org.fulmargap.batch.WorkItem;
@@ -42,7 +42,7 @@
 
 	private final StageClient client;
 
-	private final CommittedWork committed;
+	private final AdmittedWork admittedWork;
 
 	private final Route route;
 
@@ -70,7 +70,7 @@
 	 * Creates a run.
 	 * @param clockMs the present time in milliseconds
 	 * @param client runs pieces
-	 * @param committed the pieces that admitted requests still need
+	 * @param admittedWork the pieces that admitted requests still need
 	 * @param route the route
 	 * @param request what the caller asks for
 	 * @param engineDomain the failure domain of the engine that will probably run the
@@ -82,11 +82,11 @@
 	 * @param expiresAtMs when the request is given up, in milliseconds
 	 * @param listener hears the end
 	 */
-	StageRun(LongSupplier clockMs, StageClient client, CommittedWork committed, Route route, CallerRequest request,
+	StageRun(LongSupplier clockMs, StageClient client, AdmittedWork admittedWork, Route route, CallerRequest request,
 			String engineDomain, long promptMs, int priority, long dueAtMs, long expiresAtMs, Listener listener) {
 		this.clockMs = clockMs;
 		this.client = client;
-		this.committed = committed;
+		this.admittedWork = admittedWork;
 		this.route = route;
 		this.request = request;
 		this.engineDomain = engineDomain;
@@ -107,18 +107,18 @@
 	 * @param nowMs the present time in milliseconds
 	 * @return the expected times
 	 */
-	PipelineAdmission.Expected estimate(ToDoubleFunction<String> endpoints, Catalog catalog, long nowMs) {
+	PipelineAdmission.ExpectedTimes estimate(ToDoubleFunction<String> endpoints, Catalog catalog, long nowMs) {
 		List<PipelineEstimate.StageLoad> loads = new ArrayList<>();
 		for (int i = 0; i < this.stages.size(); i++) {
 			StageProgress stage = this.stages.get(i);
 			ServiceSpec service = catalog.services().get(stage.service());
 			if (!stage.isOmitted() && service != null && service.stage() != null) {
-				int before = this.committed.before(service.name(), this.priority, nowMs);
+				int itemsAhead = this.admittedWork.itemsAhead(service.name(), this.priority, nowMs);
 				loads.add(new PipelineEstimate.StageLoad(service.stage(), endpoints.applyAsDouble(service.name()),
-						before, depth(i)));
+						itemsAhead, depth(i)));
 			}
 		}
-		return new PipelineAdmission.Expected(PipelineEstimate.stagesMs(loads), PipelineEstimate.unloadedMs(loads),
+		return new PipelineAdmission.ExpectedTimes(PipelineEstimate.stagesMs(loads), PipelineEstimate.unloadedMs(loads),
 				this.promptMs);
 	}
 
@@ -131,7 +131,7 @@
 	}
 
 	void start() {
-		this.stages.forEach((stage) -> this.committed.add(stage.service(), this.priority, stage.commit()));
+		this.stages.forEach((stage) -> this.admittedWork.add(stage.service(), this.priority, stage.admit()));
 		advance();
 	}
 
@@ -243,7 +243,7 @@
 
 	private void done(StageProgress stage, int itemIndex, WorkItemOutcome outcome) {
 		stage.done(itemIndex, outcome);
-		this.committed.remove(stage.service(), this.priority, 1);
+		this.admittedWork.remove(stage.service(), this.priority, 1);
 		if (stage.isDone()) {
 			EventLog.request("stage_done", this.request.attemptId())
 				.with("stage", this.stages.indexOf(stage))
@@ -281,7 +281,7 @@
 		for (int index : stage.spec().after()) {
 			StageProgress before = this.stages.get(index);
 			release(before);
-			this.committed.add(before.service(), this.priority, before.forget());
+			this.admittedWork.add(before.service(), this.priority, before.forget());
 			rewind(before);
 		}
 	}
@@ -355,7 +355,7 @@
 		this.over = true;
 		this.stages.forEach((stage) -> {
 			stage.takeItemIds().forEach(this.client::withdraw);
-			this.committed.remove(stage.service(), this.priority, stage.takeCommitted());
+			this.admittedWork.remove(stage.service(), this.priority, stage.takeAdmitted());
 			release(stage);
 		});
 	}
--- a/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
@@ -87,7 +87,7 @@
 	private final Map<String, List<String>> freedByAddress = new HashMap<>();
 
 	/**
-	 * Creates a desk.
+	 * Creates a dispatcher.
 	 * @param loop the event loop
 	 * @param clockMs the present time in milliseconds
 	 * @param view what the platform's store holds
--- a/entry/src/test/java/org/fulmargap/entry/Installation.java
+++ b/entry/src/test/java/org/fulmargap/entry/Installation.java
@@ -23,7 +23,7 @@
  */
 final class Installation implements AutoCloseable {
 
-	private static final long PATIENCE_MS = 10_000;
+	private static final long TIMEOUT_MS = 10_000;
 
 	private static final int FIRST_PORT = 20_000;
 
@@ -87,7 +87,7 @@
 	}
 
 	static void await(BooleanSupplier condition) throws InterruptedException {
-		long untilMs = System.currentTimeMillis() + PATIENCE_MS;
+		long untilMs = System.currentTimeMillis() + TIMEOUT_MS;
 		while (!condition.getAsBoolean()) {
 			if (System.currentTimeMillis() > untilMs) {
 				throw new AssertionError("the condition did not come true in time");
@@ -114,7 +114,7 @@
 	}
 
 	private static HttpRequest.Builder get(String address, String path) {
-		return HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(Duration.ofMillis(PATIENCE_MS));
+		return HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(Duration.ofMillis(TIMEOUT_MS));
 	}
 
 	HttpRequest.Builder request(int vm, String path) {
--- a/entry/src/test/java/org/fulmargap/entry/peer/PeerCodecTests.java
+++ b/entry/src/test/java/org/fulmargap/entry/peer/PeerCodecTests.java
@@ -35,7 +35,7 @@
 	}
 
 	@Test
-	void aHeartbeatCarriesLoadsAndCommittedPieces() throws IOException {
+	void aHeartbeatCarriesLoadsAndAdmittedItems() throws IOException {
 		PeerMessage.Heartbeat sent = new PeerMessage.Heartbeat(true, false, List.of(new PeerMessage.Load("e", 2, 900)),
 				Map.of("stage", new int[] { 1, 0, 2, 0 }), Map.of("stage", 2.5), List.of(4L, -1L));
 		PeerMessage.Heartbeat received = (PeerMessage.Heartbeat) PeerCodec.decode(PeerCodec.encode(sent, 0), 0);
@@ -44,7 +44,7 @@
 		assertThat(received.draining()).isTrue();
 		assertThat(received.hearsReceiver()).isFalse();
 		assertThat(received.nextOffsets()).containsExactly(4L, -1L);
-		assertThat(received.committedPieces().get("stage")).containsExactly(1, 0, 2, 0);
+		assertThat(received.admittedItems().get("stage")).containsExactly(1, 0, 2, 0);
 	}
 
 	@Test
