--- a/core/src/main/java/org/fulmargap/batch/WorkingEndpoints.java
+++ b/core/src/main/java/org/fulmargap/batch/AvailableEndpoints.java
@@ -9,7 +9,7 @@
  * calls its endpoints and notices at once, so it tells the others. Confined to one
  * thread.
  */
-public final class WorkingEndpoints {
+public final class AvailableEndpoints {
 
 	/** A report counts for this time, in milliseconds: a few heartbeats. */
 	private static final long REPORT_LIFETIME_MS = 1_500;
@@ -29,13 +29,13 @@
 	/**
 	 * Returns the endpoints of a service that work.
 	 * @param service the name of the service
-	 * @param vmInCharge the VM that is in charge of it
+	 * @param coordinator the VM that is in charge of it
 	 * @param listed the endpoints that the platform lists, which count without a report
 	 * @param nowMs the present time in milliseconds
 	 * @return the number of endpoints of usual speed
 	 */
-	public double count(String service, String vmInCharge, int listed, long nowMs) {
-		Report report = this.reports.get(vmInCharge);
+	public double count(String service, String coordinator, int listed, long nowMs) {
+		Report report = this.reports.get(coordinator);
 		boolean fresh = report != null && nowMs - report.reportedAtMs() < REPORT_LIFETIME_MS;
 		return (fresh) ? Math.min(listed, report.endpoints().getOrDefault(service, (double) listed)) : listed;
 	}
--- a/core/src/main/java/org/fulmargap/placement/Endpoint.java
+++ b/core/src/main/java/org/fulmargap/placement/Endpoint.java
@@ -75,7 +75,7 @@
 	 * @param nowMs the present time in milliseconds
 	 * @return {@code true} if it is neither draining nor gone
 	 */
-	public boolean isOpen(long nowMs) {
+	public boolean isAvailable(long nowMs) {
 		return !this.record.draining() && nowMs < this.removeAtMs;
 	}
 
--- a/core/src/main/java/org/fulmargap/placement/EndpointDirectory.java
+++ b/core/src/main/java/org/fulmargap/placement/EndpointDirectory.java
@@ -71,8 +71,8 @@
 	 */
 	public void purge(long nowMs) {
 		for (Endpoint endpoint : List.copyOf(this.byId.values())) {
-			boolean over = !endpoint.isOpen(nowMs) && !endpoint.record().draining();
-			if (over && endpoint.ownInFlight() == 0) {
+			boolean removable = !endpoint.isAvailable(nowMs) && !endpoint.record().draining();
+			if (removable && endpoint.ownInFlight() == 0) {
 				this.byId.remove(endpoint.record().id());
 				list(endpoint.record().service()).remove(endpoint);
 			}
@@ -105,14 +105,14 @@
 	 * @param nowMs the present time in milliseconds
 	 * @return the endpoints in the order in which they became known
 	 */
-	public List<Endpoint> open(String service, long nowMs) {
-		List<Endpoint> open = new ArrayList<>();
+	public List<Endpoint> available(String service, long nowMs) {
+		List<Endpoint> available = new ArrayList<>();
 		for (Endpoint endpoint : this.byService.getOrDefault(service, List.of())) {
 			if (mayUse(endpoint, nowMs)) {
-				open.add(endpoint);
+				available.add(endpoint);
 			}
 		}
-		return open;
+		return available;
 	}
 
 	/**
@@ -122,7 +122,7 @@
 	 * @return {@code true} if it is open and its failure domain isn't evacuated
 	 */
 	public boolean mayUse(Endpoint endpoint, long nowMs) {
-		return endpoint.isOpen(nowMs) && !this.evacuatedDomains.contains(endpoint.record().failureDomain());
+		return endpoint.isAvailable(nowMs) && !this.evacuatedDomains.contains(endpoint.record().failureDomain());
 	}
 
 	/**
--- a/core/src/main/java/org/fulmargap/placement/Placement.java
+++ b/core/src/main/java/org/fulmargap/placement/Placement.java
@@ -53,7 +53,7 @@
 
 	/**
 	 * Chooses an endpoint.
-	 * @param open the endpoints that may get new work
+	 * @param available the endpoints that may get new work
 	 * @param excluded the names of endpoints that this request must not use again
 	 * @param service the service
 	 * @param demand what the request needs
@@ -61,20 +61,20 @@
 	 * @param nowMs the present time in milliseconds
 	 * @return the choice, or empty if no endpoint can take the request now
 	 */
-	public Optional<Choice> choose(List<Endpoint> open, Set<String> excluded, ServiceSpec service, Demand demand,
+	public Optional<Choice> choose(List<Endpoint> available, Set<String> excluded, ServiceSpec service, Demand demand,
 			int vmCount, long nowMs) {
-		Optional<Choice> healthy = best(open, excluded, service, demand, vmCount, false, nowMs);
+		Optional<Choice> healthy = best(available, excluded, service, demand, vmCount, false, nowMs);
 		// When all are suspended, one of them is better than a certain refusal.
-		return (healthy.isPresent()) ? healthy : best(open, excluded, service, demand, vmCount, true, nowMs);
+		return (healthy.isPresent()) ? healthy : best(available, excluded, service, demand, vmCount, true, nowMs);
 	}
 
-	private Optional<Choice> best(List<Endpoint> open, Set<String> excluded, ServiceSpec service, Demand demand,
+	private Optional<Choice> best(List<Endpoint> available, Set<String> excluded, ServiceSpec service, Demand demand,
 			int vmCount, boolean suspended, long nowMs) {
 		Endpoint best = null;
 		double bestMs = Double.MAX_VALUE;
 		double coldShare = service.coldPerSecond() / Math.max(1, vmCount);
 		int candidates = 0;
-		for (Endpoint endpoint : open) {
+		for (Endpoint endpoint : available) {
 			boolean usable = !excluded.contains(endpoint.record().id()) && (suspended || !endpoint.isSuspended(nowMs))
 					&& endpoint.hasColdAllowance(coldShare, nowMs);
 			if (!usable) {
--- a/core/src/test/java/org/fulmargap/batch/WorkingEndpointsTests.java
+++ b/core/src/test/java/org/fulmargap/batch/AvailableEndpointsTests.java
@@ -7,14 +7,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests of {@link WorkingEndpoints}.
+ * Tests of {@link AvailableEndpoints}.
  */
-class WorkingEndpointsTests {
+class AvailableEndpointsTests {
 
-	private final WorkingEndpoints endpoints = new WorkingEndpoints();
+	private final AvailableEndpoints endpoints = new AvailableEndpoints();
 
 	@Test
-	void theVmInChargeKnowsBest() {
+	void theCoordinatorKnowsBest() {
 		this.endpoints.recordReport("in-charge", Map.of("stage", 1.5), 0);
 		this.endpoints.recordReport("other", Map.of("stage", 4.0), 0);
 		assertThat(this.endpoints.count("stage", "in-charge", 4, 100)).isEqualTo(1.5);
--- a/core/src/test/java/org/fulmargap/placement/EndpointDirectoryTests.java
+++ b/core/src/test/java/org/fulmargap/placement/EndpointDirectoryTests.java
@@ -14,25 +14,25 @@
 
 	private final EndpointDirectory directory = new EndpointDirectory();
 
-	private List<String> open(long nowMs) {
-		return this.directory.open("service", nowMs).stream().map((endpoint) -> endpoint.record().id()).toList();
+	private List<String> available(long nowMs) {
+		return this.directory.available("service", nowMs).stream().map((endpoint) -> endpoint.record().id()).toList();
 	}
 
 	@Test
 	void aDrainingEndpointGetsNoNewWork() {
 		this.directory.put(Endpoints.record("one", "a", false, 0), 0);
-		assertThat(open(0)).containsExactly("one");
+		assertThat(available(0)).containsExactly("one");
 		assertThat(this.directory.put(Endpoints.record("one", "a", true, 0), 1))
 			.isEqualTo(EndpointDirectory.Change.DRAINING);
-		assertThat(open(1)).isEmpty();
+		assertThat(available(1)).isEmpty();
 	}
 
 	@Test
 	void aRecordThatLapsedWhileTheStoreWasAwayIsUsedForAShortTime() {
 		this.directory.put(Endpoints.record("one", "a", false, 0), 0);
 		this.directory.remove("one", EndpointDirectory.LAPSE_GRACE_MS, 1_000);
-		assertThat(open(1_500)).containsExactly("one");
-		assertThat(open(1_000 + EndpointDirectory.LAPSE_GRACE_MS)).isEmpty();
+		assertThat(available(1_500)).containsExactly("one");
+		assertThat(available(1_000 + EndpointDirectory.LAPSE_GRACE_MS)).isEmpty();
 	}
 
 	@Test
@@ -40,7 +40,7 @@
 		this.directory.put(Endpoints.record("one", "a", false, 0), 0);
 		this.directory.remove("one", EndpointDirectory.LAPSE_GRACE_MS, 1_000);
 		this.directory.put(Endpoints.record("one", "a", false, 0), 1_500);
-		assertThat(open(9_000)).containsExactly("one");
+		assertThat(available(9_000)).containsExactly("one");
 	}
 
 	@Test
@@ -48,9 +48,9 @@
 		this.directory.put(Endpoints.record("one", "a", false, 0), 0);
 		this.directory.put(Endpoints.record("two", "b", false, 0), 0);
 		this.directory.evacuate(Set.of("a"));
-		assertThat(open(0)).containsExactly("two");
+		assertThat(available(0)).containsExactly("two");
 		this.directory.evacuate(Set.of());
-		assertThat(open(0)).containsExactly("one", "two");
+		assertThat(available(0)).containsExactly("one", "two");
 	}
 
 	@Test
@@ -58,7 +58,7 @@
 		this.directory.put(Endpoints.record("one", "a", false, 0), 0);
 		this.directory.put(Endpoints.record("two", "b", false, 0), 0);
 		this.directory.retain(Set.of("two"), 0, 5);
-		assertThat(open(5)).containsExactly("two");
+		assertThat(available(5)).containsExactly("two");
 		this.directory.purge(6);
 		assertThat(this.directory.all()).hasSize(1);
 	}
--- a/entry/src/main/java/org/fulmargap/entry/EntryVm.java
+++ b/entry/src/main/java/org/fulmargap/entry/EntryVm.java
@@ -11,7 +11,7 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import org.fulmargap.batch.AdmittedWork;
-import org.fulmargap.batch.WorkingEndpoints;
+import org.fulmargap.batch.AvailableEndpoints;
 import org.fulmargap.entry.caller.CallerServer;
 import org.fulmargap.entry.endpoint.EndpointPool;
 import org.fulmargap.entry.peer.PeerListener;
@@ -40,7 +40,7 @@
 	private static final int MAX_FINGERPRINTS = 1_000;
 
 	/** Reads of one path by one account are alike, and a cut breaks several at once. */
-	private static final int STRIKES_TO_QUARANTINE = 3;
+	private static final int CRASHES_TO_QUARANTINE = 3;
 
 	private static final long NANOS_PER_MS = 1_000_000;
 
@@ -68,11 +68,11 @@
 
 	private final AtomicBoolean draining = new AtomicBoolean();
 
-	private final CrashQuarantine quarantine = new CrashQuarantine(MAX_FINGERPRINTS, STRIKES_TO_QUARANTINE);
+	private final CrashQuarantine quarantine = new CrashQuarantine(MAX_FINGERPRINTS, CRASHES_TO_QUARANTINE);
 
 	private final AdmittedWork admittedWork = new AdmittedWork();
 
-	private final WorkingEndpoints working = new WorkingEndpoints();
+	private final AvailableEndpoints endpointReports = new AvailableEndpoints();
 
 	private final PeerNetwork peers;
 
@@ -105,7 +105,7 @@
 		this.stages = new StageClient(this.loop, this.dispatcher, this.peers);
 		RequestServices services = new RequestServices(this.loop, this.clockMs, this.view,
 				new Placement(settings.failureDomain()), retries, this.quarantine, pool, this.stages, this.admittedWork,
-				this.working, this.peers, new ServiceTimes(), new CallerTimes(), this.metrics);
+				this.endpointReports, this.peers, new ServiceTimes(), new CallerTimes(), this.metrics);
 		this.router = new RequestRouter(services);
 		this.callers = new CallerServer(this.loop, this.clockMs, this.view::limits, this.router);
 		this.store = new StoreClient(settings.storeAddress());
@@ -186,31 +186,31 @@
 		else if (message instanceof PeerMessage.Outcomes outcomes) {
 			this.stages.receive(outcomes);
 		}
-		else if (message instanceof PeerMessage.Withdrawal withdrawal) {
-			this.stages.receive(peer, withdrawal);
+		else if (message instanceof PeerMessage.Cancellation cancellation) {
+			this.stages.receive(peer, cancellation);
 		}
 		else if (message instanceof PeerMessage.Release release) {
 			this.stages.receive(release);
 		}
-		else if (message instanceof PeerMessage.RecordsWanted wanted) {
-			this.watch.wanted(peer, wanted);
+		else if (message instanceof PeerMessage.RecordsRequest request) {
+			this.watch.sendRecords(peer, request);
 		}
-		else if (message instanceof PeerMessage.Records records) {
+		else if (message instanceof PeerMessage.RecordsReply records) {
 			this.watch.received(records);
 		}
-		else if (message instanceof PeerMessage.Strike strike) {
-			this.quarantine.mergeStrikes(Map.of(strike.fingerprint(), List.of(strike.endpoint())), nowMs);
+		else if (message instanceof PeerMessage.CrashReport crashReport) {
+			this.quarantine.mergeStrikes(Map.of(crashReport.fingerprint(), List.of(crashReport.endpoint())), nowMs);
 			EventLog.state("strike_heard")
 				.with("peer", peer)
-				.with("endpoint", strike.endpoint())
-				.with("fingerprint", strike.fingerprint())
+				.with("endpoint", crashReport.endpoint())
+				.with("fingerprint", crashReport.fingerprint())
 				.write();
 		}
 	}
 
 	private void recordReport(String peer, PeerMessage.Heartbeat heartbeat, long nowMs) {
 		this.admittedWork.recordReport(peer, heartbeat.admittedItems(), nowMs);
-		this.working.recordReport(peer, heartbeat.workingEndpoints(), nowMs);
+		this.endpointReports.recordReport(peer, heartbeat.availableEndpoints(), nowMs);
 		this.watch.peerKnows(peer, heartbeat.nextOffsets(), nowMs);
 		for (Endpoint endpoint : this.view.directory().all()) {
 			endpoint.recordReport(peer, new PeerLoad(0, 0, nowMs));
@@ -241,9 +241,9 @@
 	}
 
 	@Override
-	public Map<String, Double> workingEndpoints() {
-		Map<String, Double> own = this.dispatcher.workingEndpoints();
-		this.working.recordReport(this.settings.vm(), own, this.clockMs.getAsLong());
+	public Map<String, Double> availableEndpoints() {
+		Map<String, Double> own = this.dispatcher.availableEndpoints();
+		this.endpointReports.recordReport(this.settings.vm(), own, this.clockMs.getAsLong());
 		return own;
 	}
 
--- a/entry/src/main/java/org/fulmargap/entry/StoreWatch.java
+++ b/entry/src/main/java/org/fulmargap/entry/StoreWatch.java
@@ -164,7 +164,7 @@
 				this.behindSinceMs.put(topic, nowMs);
 				long from = this.topics.get(topic).nextOffset();
 				EventLog.state("records_wanted").with("topic", topic).with("peer", peer).with("offset", from).write();
-				this.peers.send(peer, new PeerMessage.RecordsWanted(topic, from));
+				this.peers.send(peer, new PeerMessage.RecordsRequest(topic, from));
 			}
 		}
 	}
@@ -172,12 +172,12 @@
 	/**
 	 * Answers a peer that can't read the store.
 	 * @param peer the name of the peer
-	 * @param wanted what it asks for
+	 * @param request what it asks for
 	 */
-	void wanted(String peer, PeerMessage.RecordsWanted wanted) {
-		StorePage page = this.topics.get(wanted.topic()).since(wanted.from());
+	void sendRecords(String peer, PeerMessage.RecordsRequest request) {
+		StorePage page = this.topics.get(request.topic()).since(request.from());
 		if (page.nextOffset() >= 0) {
-			this.peers.send(peer, new PeerMessage.Records(wanted.topic(), page));
+			this.peers.send(peer, new PeerMessage.RecordsReply(request.topic(), page));
 		}
 	}
 
@@ -185,7 +185,7 @@
 	 * Takes over records from a peer.
 	 * @param records the records
 	 */
-	void received(PeerMessage.Records records) {
+	void received(PeerMessage.RecordsReply records) {
 		this.behindSinceMs.remove(records.topic());
 		apply(records.topic(), records.page());
 	}
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerCodec.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerCodec.java
@@ -47,13 +47,13 @@
 		else if (message instanceof PeerMessage.Heartbeat heartbeat) {
 			out.packInt(Type.HEARTBEAT.ordinal())
 				.packBoolean(heartbeat.draining())
-				.packBoolean(heartbeat.hearsReceiver());
+				.packBoolean(heartbeat.receiverHeard());
 			out.packArrayHeader(heartbeat.loads().size());
 			for (PeerMessage.Load load : heartbeat.loads()) {
 				out.packString(load.endpoint()).packInt(load.inFlight()).packLong(load.prefillTokens());
 			}
 			writeAdmitted(out, heartbeat.admittedItems());
-			writeWorking(out, heartbeat.workingEndpoints());
+			writeAvailable(out, heartbeat.availableEndpoints());
 			out.packArrayHeader(heartbeat.nextOffsets().size());
 			for (long offset : heartbeat.nextOffsets()) {
 				out.packLong(offset);
@@ -84,41 +84,43 @@
 					.packString(outcome.failureDomain());
 			}
 		}
-		else if (message instanceof PeerMessage.Withdrawal withdrawal) {
-			out.packInt(Type.WITHDRAWAL.ordinal()).packLong(withdrawal.itemId());
+		else if (message instanceof PeerMessage.Cancellation cancellation) {
+			out.packInt(Type.CANCELLATION.ordinal()).packLong(cancellation.itemId());
 		}
 		else if (message instanceof PeerMessage.Release release) {
 			out.packInt(Type.RELEASE.ordinal()).packString(release.service()).packBoolean(release.evictable());
 			writeTexts(out, release.handles());
 		}
-		else if (message instanceof PeerMessage.RecordsWanted wanted) {
-			out.packInt(Type.RECORDS_WANTED.ordinal()).packInt(wanted.topic().ordinal()).packLong(wanted.from());
+		else if (message instanceof PeerMessage.RecordsRequest request) {
+			out.packInt(Type.RECORDS_REQUEST.ordinal()).packInt(request.topic().ordinal()).packLong(request.from());
 		}
-		else if (message instanceof PeerMessage.Records records) {
-			out.packInt(Type.RECORDS.ordinal());
+		else if (message instanceof PeerMessage.RecordsReply records) {
+			out.packInt(Type.RECORDS_REPLY.ordinal());
 			writeRecords(out, records);
 		}
-		else if (message instanceof PeerMessage.Strike strike) {
-			out.packInt(Type.STRIKE.ordinal()).packString(strike.fingerprint()).packString(strike.endpoint());
+		else if (message instanceof PeerMessage.CrashReport crashReport) {
+			out.packInt(Type.CRASH_REPORT.ordinal())
+				.packString(crashReport.fingerprint())
+				.packString(crashReport.endpoint());
 		}
 		else {
 			throw new IllegalStateException("no encoding for " + message.getClass());
 		}
 	}
 
-	private static void writeWorking(MessageBufferPacker out, Map<String, Double> working) throws IOException {
-		out.packMapHeader(working.size());
-		for (Map.Entry<String, Double> service : working.entrySet()) {
+	private static void writeAvailable(MessageBufferPacker out, Map<String, Double> available) throws IOException {
+		out.packMapHeader(available.size());
+		for (Map.Entry<String, Double> service : available.entrySet()) {
 			out.packString(service.getKey()).packDouble(service.getValue());
 		}
 	}
 
-	private static Map<String, Double> readWorking(MessageUnpacker in) throws IOException {
-		Map<String, Double> working = new HashMap<>();
+	private static Map<String, Double> readAvailable(MessageUnpacker in) throws IOException {
+		Map<String, Double> available = new HashMap<>();
 		for (int i = readMapSize(in); i > 0; i--) {
-			working.put(in.unpackString(), in.unpackDouble());
+			available.put(in.unpackString(), in.unpackDouble());
 		}
-		return working;
+		return available;
 	}
 
 	private static void writeAdmitted(MessageBufferPacker out, Map<String, int[]> admitted) throws IOException {
@@ -152,7 +154,7 @@
 		return offsets;
 	}
 
-	private static void writeRecords(MessageBufferPacker out, PeerMessage.Records message) throws IOException {
+	private static void writeRecords(MessageBufferPacker out, PeerMessage.RecordsReply message) throws IOException {
 		StorePage page = message.page();
 		out.packInt(message.topic().ordinal()).packLong(page.nextOffset()).packBoolean(page.isComplete());
 		out.packArrayHeader(page.records().size());
@@ -162,7 +164,7 @@
 		}
 	}
 
-	private static PeerMessage.Records readRecords(MessageUnpacker in) throws IOException {
+	private static PeerMessage.RecordsReply readRecords(MessageUnpacker in) throws IOException {
 		StoreTopic topic = readTopic(in);
 		long nextOffset = in.unpackLong();
 		boolean complete = in.unpackBoolean();
@@ -172,7 +174,7 @@
 			long offset = in.unpackLong();
 			records.add(new KeyedRecord(key, in.readPayload(in.unpackBinaryHeader()), offset));
 		}
-		return new PeerMessage.Records(topic, new StorePage(records, nextOffset, complete));
+		return new PeerMessage.RecordsReply(topic, new StorePage(records, nextOffset, complete));
 	}
 
 	private static StoreTopic readTopic(MessageUnpacker in) throws IOException {
@@ -230,12 +232,12 @@
 
 	private static PeerMessage.Heartbeat readHeartbeat(MessageUnpacker in) throws IOException {
 		boolean draining = in.unpackBoolean();
-		boolean hearsReceiver = in.unpackBoolean();
+		boolean receiverHeard = in.unpackBoolean();
 		List<PeerMessage.Load> loads = new ArrayList<>();
 		for (int i = readSize(in); i > 0; i--) {
 			loads.add(new PeerMessage.Load(in.unpackString(), in.unpackInt(), in.unpackLong()));
 		}
-		return new PeerMessage.Heartbeat(draining, hearsReceiver, loads, readAdmitted(in), readWorking(in),
+		return new PeerMessage.Heartbeat(draining, receiverHeard, loads, readAdmitted(in), readAvailable(in),
 				readOffsets(in));
 	}
 
@@ -341,10 +343,10 @@
 			}
 		},
 
-		WITHDRAWAL {
+		CANCELLATION {
 			@Override
 			PeerMessage read(MessageUnpacker in, long nowMs) throws IOException {
-				return new PeerMessage.Withdrawal(in.unpackLong());
+				return new PeerMessage.Cancellation(in.unpackLong());
 			}
 		},
 
@@ -357,21 +359,21 @@
 			}
 		},
 
-		STRIKE {
+		CRASH_REPORT {
 			@Override
 			PeerMessage read(MessageUnpacker in, long nowMs) throws IOException {
-				return new PeerMessage.Strike(in.unpackString(), in.unpackString());
+				return new PeerMessage.CrashReport(in.unpackString(), in.unpackString());
 			}
 		},
 
-		RECORDS_WANTED {
+		RECORDS_REQUEST {
 			@Override
 			PeerMessage read(MessageUnpacker in, long nowMs) throws IOException {
-				return new PeerMessage.RecordsWanted(readTopic(in), in.unpackLong());
+				return new PeerMessage.RecordsRequest(readTopic(in), in.unpackLong());
 			}
 		},
 
-		RECORDS {
+		RECORDS_REPLY {
 			@Override
 			PeerMessage read(MessageUnpacker in, long nowMs) throws IOException {
 				return readRecords(in);
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerListener.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerListener.java
@@ -38,7 +38,7 @@
 	 * heartbeats.
 	 * @return the number of endpoints of usual speed, by service
 	 */
-	Map<String, Double> workingEndpoints();
+	Map<String, Double> availableEndpoints();
 
 	/**
 	 * Returns how far this VM knows each topic of the store, for heartbeats.
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerMessage.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerMessage.java
@@ -28,17 +28,17 @@
 	 * The sender is alive and has requests in flight.
 	 *
 	 * @param draining whether the sender is about to leave
-	 * @param hearsReceiver whether the sender hears the receiver; a connection can go
+	 * @param receiverHeard whether the sender hears the receiver; a connection can go
 	 * silent without being closed, which only the other end notices
 	 * @param loads what it has in flight, only for endpoints with load
 	 * @param admittedItems the pieces that its requests still need, by rank, by service
-	 * @param workingEndpoints the endpoints that work, of the services that the sender
+	 * @param availableEndpoints the endpoints that work, of the services that the sender
 	 * makes calls to, in units of endpoints of usual speed
 	 * @param nextOffsets how far it knows each topic of the store, in the order of the
 	 * topics
 	 */
-	record Heartbeat(boolean draining, boolean hearsReceiver, List<Load> loads, Map<String, int[]> admittedItems,
-			Map<String, Double> workingEndpoints, List<Long> nextOffsets) implements PeerMessage {
+	record Heartbeat(boolean draining, boolean receiverHeard, List<Load> loads, Map<String, int[]> admittedItems,
+			Map<String, Double> availableEndpoints, List<Long> nextOffsets) implements PeerMessage {
 	}
 
 	/**
@@ -57,7 +57,7 @@
 	 * @param topic the topic
 	 * @param from the first offset; a negative one for the newest record of each key
 	 */
-	record RecordsWanted(StoreTopic topic, long from) implements PeerMessage {
+	record RecordsRequest(StoreTopic topic, long from) implements PeerMessage {
 	}
 
 	/**
@@ -66,7 +66,7 @@
 	 * @param topic the topic
 	 * @param page the records
 	 */
-	record Records(StoreTopic topic, StorePage page) implements PeerMessage {
+	record RecordsReply(StoreTopic topic, StorePage page) implements PeerMessage {
 	}
 
 	/**
@@ -100,7 +100,7 @@
 	 *
 	 * @param itemId the number of the piece
 	 */
-	record Withdrawal(long itemId) implements PeerMessage {
+	record Cancellation(long itemId) implements PeerMessage {
 	}
 
 	/**
@@ -119,7 +119,7 @@
 	 * @param fingerprint the fingerprint of the request
 	 * @param endpoint the name of the endpoint
 	 */
-	record Strike(String fingerprint, String endpoint) implements PeerMessage {
+	record CrashReport(String fingerprint, String endpoint) implements PeerMessage {
 	}
 
 }
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerNetwork.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerNetwork.java
@@ -182,7 +182,7 @@
 	 * @param service the name of the service
 	 * @return the name of the VM
 	 */
-	public String inCharge(String service) {
+	public String coordinatorOf(String service) {
 		String best = this.ownName;
 		int bestRank = (this.draining) ? Integer.MIN_VALUE : rank(service, this.ownName);
 		for (Peer peer : this.peers.values()) {
@@ -268,15 +268,15 @@
 	 * What the heartbeats to all peers have in common.
 	 */
 	private record HeartbeatContent(List<PeerMessage.Load> loads, Map<String, int[]> admittedItems,
-			Map<String, Double> workingEndpoints, List<Long> nextOffsets) {
+			Map<String, Double> availableEndpoints, List<Long> nextOffsets) {
 
 		private static HeartbeatContent of(PeerListener own) {
-			return new HeartbeatContent(own.loads(), own.admittedItems(), own.workingEndpoints(), own.nextOffsets());
+			return new HeartbeatContent(own.loads(), own.admittedItems(), own.availableEndpoints(), own.nextOffsets());
 		}
 
-		private PeerMessage.Heartbeat heartbeat(boolean draining, boolean hearsReceiver) {
-			return new PeerMessage.Heartbeat(draining, hearsReceiver, this.loads, this.admittedItems,
-					this.workingEndpoints, this.nextOffsets);
+		private PeerMessage.Heartbeat heartbeat(boolean draining, boolean receiverHeard) {
+			return new PeerMessage.Heartbeat(draining, receiverHeard, this.loads, this.admittedItems,
+					this.availableEndpoints, this.nextOffsets);
 		}
 
 	}
@@ -416,7 +416,7 @@
 				this.draining = true;
 				EventLog.state("peer_draining").with("peer", this.name).write();
 			}
-			boolean unheard = !heartbeat.hearsReceiver() && isConnected() && nowMs - this.connectedAtMs > LOST_AFTER_MS;
+			boolean unheard = !heartbeat.receiverHeard() && isConnected() && nowMs - this.connectedAtMs > LOST_AFTER_MS;
 			if (unheard) {
 				lose("deaf");
 				disconnect();
--- a/entry/src/main/java/org/fulmargap/entry/request/RequestFlow.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/RequestFlow.java
@@ -133,8 +133,8 @@
 		long nowMs = this.arrivedAtMs;
 		Placement.Demand demand = new Placement.Demand(this.request.prompt(), List.of());
 		return this.services.placement()
-			.choose(this.services.view().directory().open(this.service.name(), nowMs), Set.of(), this.service, demand,
-					this.services.peers().vmCount(), nowMs);
+			.choose(this.services.view().directory().available(this.service.name(), nowMs), Set.of(), this.service,
+					demand, this.services.peers().vmCount(), nowMs);
 	}
 
 	private long promptMs(Optional<Choice> engine) {
@@ -158,8 +158,8 @@
 	}
 
 	private boolean isAdmitted() {
-		PipelineAdmission.ExpectedTimes expected = this.stageRun.estimate(this.services::workingEndpoints, this.catalog,
-				this.arrivedAtMs);
+		PipelineAdmission.ExpectedTimes expected = this.stageRun.estimate(this.services::availableEndpoints,
+				this.catalog, this.arrivedAtMs);
 		long maxWaitMs = Math.min(this.endsAtMs - this.arrivedAtMs, this.route.maxWaitMs());
 		PipelineAdmission.Decision decision = PipelineAdmission.decide(expected, this.route.objectiveMs(), maxWaitMs);
 		if (!decision.admitted()) {
@@ -199,8 +199,8 @@
 		}
 		Placement.Demand demand = new Placement.Demand(this.request.prompt(), this.stageRun.finalInputs());
 		Optional<Choice> choice = this.services.placement()
-			.choose(this.services.view().directory().open(this.service.name(), nowMs), this.usedEndpoints, this.service,
-					demand, this.services.peers().vmCount(), nowMs);
+			.choose(this.services.view().directory().available(this.service.name(), nowMs), this.usedEndpoints,
+					this.service, demand, this.services.peers().vmCount(), nowMs);
 		if (choice.isEmpty()) {
 			noEndpoint(nowMs);
 			return;
@@ -211,13 +211,13 @@
 
 	// A cold endpoint may take the request a little later; otherwise there is none.
 	private void noEndpoint(long nowMs) {
-		boolean someOpen = this.services.view()
+		boolean someAvailable = this.services.view()
 			.directory()
-			.open(this.service.name(), nowMs)
+			.available(this.service.name(), nowMs)
 			.stream()
 			.anyMatch((endpoint) -> !this.usedEndpoints.contains(endpoint.record().id()));
 		long waitedMs = nowMs - this.arrivedAtMs;
-		if (someOpen && waitedMs + NO_ENDPOINT_PAUSE_MS < this.route.objectiveMs() / 2) {
+		if (someAvailable && waitedMs + NO_ENDPOINT_PAUSE_MS < this.route.objectiveMs() / 2) {
 			this.services.loop().schedule(this::dispatch, NO_ENDPOINT_PAUSE_MS, TimeUnit.MILLISECONDS);
 			return;
 		}
--- a/entry/src/main/java/org/fulmargap/entry/request/RequestServices.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/RequestServices.java
@@ -4,7 +4,7 @@
 
 import io.netty.channel.EventLoop;
 import org.fulmargap.batch.AdmittedWork;
-import org.fulmargap.batch.WorkingEndpoints;
+import org.fulmargap.batch.AvailableEndpoints;
 import org.fulmargap.entry.EntryMetrics;
 import org.fulmargap.entry.EventLog;
 import org.fulmargap.entry.StoreView;
@@ -29,7 +29,7 @@
  * @param pool connections to endpoints
  * @param stages runs stages
  * @param admittedWork the pieces that admitted requests still need
- * @param working the stage endpoints that work
+ * @param endpointReports the stage endpoints that work
  * @param peers the other entry VMs
  * @param times usual times of services
  * @param callerTimes the time that callers give their requests
@@ -37,7 +37,7 @@
  */
 public record RequestServices(EventLoop loop, LongSupplier clockMs, StoreView view, Placement placement,
 		RetryAllowance retries, CrashQuarantine quarantine, EndpointPool pool, StageClient stages,
-		AdmittedWork admittedWork, WorkingEndpoints working, PeerNetwork peers, ServiceTimes times,
+		AdmittedWork admittedWork, AvailableEndpoints endpointReports, PeerNetwork peers, ServiceTimes times,
 		CallerTimes callerTimes, EntryMetrics metrics) {
 
 	/**
@@ -63,7 +63,7 @@
 	public void confirmCrash(String endpoint, long nowMs) {
 		this.quarantine.confirmCrash(endpoint, nowMs).forEach((fingerprint, endpoints) -> {
 			EventLog.state("strike").with("endpoint", endpoint).with("fingerprint", fingerprint).write();
-			this.peers.sendAll(new PeerMessage.Strike(fingerprint, endpoint));
+			this.peers.sendAll(new PeerMessage.CrashReport(fingerprint, endpoint));
 		});
 	}
 
@@ -72,9 +72,9 @@
 	 * @param service the name of the service
 	 * @return the number of endpoints of usual speed
 	 */
-	double workingEndpoints(String service) {
-		int listed = this.view.directory().open(service, nowMs()).size();
-		return this.working.count(service, this.peers.inCharge(service), listed, nowMs());
+	double availableEndpoints(String service) {
+		int listed = this.view.directory().available(service, nowMs()).size();
+		return this.endpointReports.count(service, this.peers.coordinatorOf(service), listed, nowMs());
 	}
 
 	long nowMs() {
--- a/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
@@ -276,7 +276,7 @@
 	}
 
 	private void rewind(StageProgress stage) {
-		stage.takeItemIds().forEach(this.client::withdraw);
+		stage.takeItemIds().forEach(this.client::cancel);
 		stage.rewind();
 		for (int index : stage.spec().after()) {
 			StageProgress before = this.stages.get(index);
@@ -354,7 +354,7 @@
 	void close() {
 		this.over = true;
 		this.stages.forEach((stage) -> {
-			stage.takeItemIds().forEach(this.client::withdraw);
+			stage.takeItemIds().forEach(this.client::cancel);
 			this.admittedWork.remove(stage.service(), this.priority, stage.takeAdmitted());
 			release(stage);
 		});
--- a/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
@@ -129,7 +129,7 @@
 		queue.entries.put(item, entry);
 		queue.scheduler.add(item);
 		queue.scheduleDispatch();
-		return () -> queue.withdraw(item);
+		return () -> queue.cancel(item);
 	}
 
 	/**
@@ -182,15 +182,15 @@
 	 * Returns the endpoints that work, of the services with pieces at this VM.
 	 * @return the number of endpoints of usual speed, by service
 	 */
-	public Map<String, Double> workingEndpoints() {
+	public Map<String, Double> availableEndpoints() {
 		long nowMs = this.clockMs.getAsLong();
-		Map<String, Double> working = new HashMap<>();
+		Map<String, Double> available = new HashMap<>();
 		this.queues.forEach((service, queue) -> {
 			if (!queue.entries.isEmpty()) {
-				working.put(service, speed(this.view.directory().open(service, nowMs), nowMs));
+				available.put(service, speed(this.view.directory().available(service, nowMs), nowMs));
 			}
 		});
-		return working;
+		return available;
 	}
 
 	private static double speed(List<Endpoint> endpoints, long nowMs) {
@@ -248,22 +248,22 @@
 			if (this.scheduler.waitingCount() == 0) {
 				return;
 			}
-			List<Endpoint> open = StageCallDispatcher.this.view.directory().open(this.service, nowMs);
-			for (WorkItem late : this.scheduler.expire(open.size(), nowMs)) {
+			List<Endpoint> available = StageCallDispatcher.this.view.directory().available(this.service, nowMs);
+			for (WorkItem late : this.scheduler.expire(available.size(), nowMs)) {
 				StageCallDispatcher.this.metrics.count("pieces_expired");
 				EventLog.request("piece_expired", late.attemptId())
 					.with("service", this.service)
 					.with("stage", late.stage())
 					.with("waiting", this.scheduler.waitingCount())
-					.with("endpoints", open.size())
+					.with("endpoints", available.size())
 					.with("left_ms", late.expiresAtMs() - nowMs)
 					.write();
 				finish(late, WorkItemOutcome.failed(late.itemId()));
 			}
-			Optional<StageCall> next = this.scheduler.next(open, nowMs);
+			Optional<StageCall> next = this.scheduler.next(available, nowMs);
 			while (next.isPresent()) {
 				send(next.get(), nowMs);
-				next = this.scheduler.next(open, nowMs);
+				next = this.scheduler.next(available, nowMs);
 			}
 			release(this.scheduler.evict(nowMs));
 		}
@@ -293,7 +293,7 @@
 					TimeUnit.MILLISECONDS);
 		}
 
-		private void withdraw(WorkItem item) {
+		private void cancel(WorkItem item) {
 			this.entries.remove(item);
 			this.scheduler.remove(item);
 		}
--- a/entry/src/main/java/org/fulmargap/entry/stage/StageClient.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageClient.java
@@ -29,7 +29,7 @@
 
 	private final Map<Long, Submission> submissions = new HashMap<>();
 
-	private final Map<RemoteItem, Runnable> withdrawals = new HashMap<>();
+	private final Map<RemoteItem, Runnable> cancellations = new HashMap<>();
 
 	private final Map<PeerService, List<WorkItem>> outgoing = new LinkedHashMap<>();
 
@@ -73,12 +73,13 @@
 	}
 
 	private void dispatch(Submission submission) {
-		submission.owner = this.peers.inCharge(submission.service);
-		if (submission.owner.equals(this.peers.ownName())) {
-			submission.withdrawal = this.dispatcher.submit(submission.service, submission.item, this::finished);
+		submission.coordinator = this.peers.coordinatorOf(submission.service);
+		if (submission.coordinator.equals(this.peers.ownName())) {
+			submission.cancellation = this.dispatcher.submit(submission.service, submission.item, this::handleOutcome);
 			return;
 		}
-		this.outgoing.computeIfAbsent(new PeerService(submission.owner, submission.service), (key) -> new ArrayList<>())
+		this.outgoing
+			.computeIfAbsent(new PeerService(submission.coordinator, submission.service), (key) -> new ArrayList<>())
 			.add(submission.item);
 		flushSoon();
 	}
@@ -100,7 +101,7 @@
 		outcomes.forEach((peer, list) -> this.peers.send(peer, new PeerMessage.Outcomes(list)));
 	}
 
-	private void finished(WorkItemOutcome outcome) {
+	private void handleOutcome(WorkItemOutcome outcome) {
 		Submission submission = (outcome.status().isLast()) ? this.submissions.remove(outcome.itemId())
 				: this.submissions.get(outcome.itemId());
 		if (submission != null) {
@@ -112,16 +113,16 @@
 	 * Withdraws a piece that nobody needs any more.
 	 * @param itemId the number of the piece
 	 */
-	public void withdraw(long itemId) {
+	public void cancel(long itemId) {
 		Submission submission = this.submissions.remove(itemId);
 		if (submission == null) {
 			return;
 		}
-		if (submission.withdrawal != null) {
-			submission.withdrawal.run();
+		if (submission.cancellation != null) {
+			submission.cancellation.run();
 		}
 		else {
-			this.peers.send(submission.owner, new PeerMessage.Withdrawal(itemId));
+			this.peers.send(submission.coordinator, new PeerMessage.Cancellation(itemId));
 		}
 	}
 
@@ -145,8 +146,8 @@
 	}
 
 	private void release(PeerMessage.Release release) {
-		String owner = this.peers.inCharge(release.service());
-		if (owner.equals(this.peers.ownName()) || !this.peers.send(owner, release)) {
+		String coordinator = this.peers.coordinatorOf(release.service());
+		if (coordinator.equals(this.peers.ownName()) || !this.peers.send(coordinator, release)) {
 			receive(release);
 		}
 	}
@@ -172,14 +173,14 @@
 	public void receive(String peer, PeerMessage.WorkItems message) {
 		for (WorkItem item : message.items()) {
 			RemoteItem key = new RemoteItem(peer, item.itemId());
-			Runnable withdrawal = this.dispatcher.submit(message.service(), item, (outcome) -> {
+			Runnable cancellation = this.dispatcher.submit(message.service(), item, (outcome) -> {
 				if (outcome.status().isLast()) {
-					this.withdrawals.remove(key);
+					this.cancellations.remove(key);
 				}
 				this.outgoingOutcomes.computeIfAbsent(peer, (name) -> new ArrayList<>()).add(outcome);
 				flushSoon();
 			});
-			this.withdrawals.put(key, withdrawal);
+			this.cancellations.put(key, cancellation);
 		}
 	}
 
@@ -188,10 +189,10 @@
 	 * @param peer the name of the peer
 	 * @param message the withdrawal
 	 */
-	public void receive(String peer, PeerMessage.Withdrawal message) {
-		Runnable withdrawal = this.withdrawals.remove(new RemoteItem(peer, message.itemId()));
-		if (withdrawal != null) {
-			withdrawal.run();
+	public void receive(String peer, PeerMessage.Cancellation message) {
+		Runnable cancellation = this.cancellations.remove(new RemoteItem(peer, message.itemId()));
+		if (cancellation != null) {
+			cancellation.run();
 		}
 	}
 
@@ -202,7 +203,7 @@
 	 */
 	public void receive(PeerMessage.Outcomes message) {
 		for (WorkItemOutcome outcome : message.outcomes()) {
-			finished(outcome);
+			handleOutcome(outcome);
 		}
 	}
 
@@ -214,14 +215,14 @@
 	public void peerLost(String peer) {
 		List<Submission> lost = this.submissions.values()
 			.stream()
-			.filter((submission) -> peer.equals(submission.owner))
+			.filter((submission) -> peer.equals(submission.coordinator))
 			.toList();
 		if (!lost.isEmpty()) {
 			EventLog.state("pieces_moved").with("peer", peer).with("pieces", lost.size()).write();
 		}
 		lost.forEach(this::dispatch);
-		List<RemoteItem> orphans = this.withdrawals.keySet().stream().filter((key) -> key.peer.equals(peer)).toList();
-		orphans.forEach((key) -> this.withdrawals.remove(key).run());
+		List<RemoteItem> orphans = this.cancellations.keySet().stream().filter((key) -> key.peer.equals(peer)).toList();
+		orphans.forEach((key) -> this.cancellations.remove(key).run());
 	}
 
 	private static final class Submission {
@@ -232,9 +233,9 @@
 
 		private final Consumer<WorkItemOutcome> outcome;
 
-		private String owner;
+		private String coordinator;
 
-		private Runnable withdrawal;
+		private Runnable cancellation;
 
 		private Submission(String service, WorkItem item, Consumer<WorkItemOutcome> outcome) {
 			this.service = service;
--- a/entry/src/test/java/org/fulmargap/entry/peer/PeerCodecTests.java
+++ b/entry/src/test/java/org/fulmargap/entry/peer/PeerCodecTests.java
@@ -24,11 +24,11 @@
 	@Test
 	void messagesArriveAsTheyWereSent() throws IOException {
 		List<PeerMessage> messages = List.of(new PeerMessage.Hello("vm-1", 5, "10.0.0.1:7"),
-				new PeerMessage.RecordsWanted(StoreTopic.ENDPOINTS, -1),
+				new PeerMessage.RecordsRequest(StoreTopic.ENDPOINTS, -1),
 				new PeerMessage.PromptSent("engine", new Prompt(10, 2, List.of(new PromptPart("aa", 6)))),
 				new PeerMessage.Outcomes(List.of(WorkItemOutcome.done(3, "handle", "a"), WorkItemOutcome.failed(4))),
-				new PeerMessage.Withdrawal(8), new PeerMessage.Release("stage", List.of("h1", "h2"), true),
-				new PeerMessage.Strike("print", "engine"));
+				new PeerMessage.Cancellation(8), new PeerMessage.Release("stage", List.of("h1", "h2"), true),
+				new PeerMessage.CrashReport("print", "engine"));
 		for (PeerMessage message : messages) {
 			assertThat(PeerCodec.decode(PeerCodec.encode(message, 7), 7)).isEqualTo(message);
 		}
@@ -40,9 +40,9 @@
 				Map.of("stage", new int[] { 1, 0, 2, 0 }), Map.of("stage", 2.5), List.of(4L, -1L));
 		PeerMessage.Heartbeat received = (PeerMessage.Heartbeat) PeerCodec.decode(PeerCodec.encode(sent, 0), 0);
 		assertThat(received.loads()).isEqualTo(sent.loads());
-		assertThat(received.workingEndpoints()).isEqualTo(sent.workingEndpoints());
+		assertThat(received.availableEndpoints()).isEqualTo(sent.availableEndpoints());
 		assertThat(received.draining()).isTrue();
-		assertThat(received.hearsReceiver()).isFalse();
+		assertThat(received.receiverHeard()).isFalse();
 		assertThat(received.nextOffsets()).containsExactly(4L, -1L);
 		assertThat(received.admittedItems().get("stage")).containsExactly(1, 0, 2, 0);
 	}
@@ -50,8 +50,8 @@
 	@Test
 	void recordsOfTheStoreAreRelayed() throws IOException {
 		StorePage page = new StorePage(List.of(new KeyedRecord("config", new byte[] { 1, 2 }, 6)), 7, true);
-		PeerMessage.Records received = (PeerMessage.Records) PeerCodec
-			.decode(PeerCodec.encode(new PeerMessage.Records(StoreTopic.OPERATOR, page), 0), 0);
+		PeerMessage.RecordsReply received = (PeerMessage.RecordsReply) PeerCodec
+			.decode(PeerCodec.encode(new PeerMessage.RecordsReply(StoreTopic.OPERATOR, page), 0), 0);
 		assertThat(received.topic()).isEqualTo(StoreTopic.OPERATOR);
 		assertThat(received.page().nextOffset()).isEqualTo(7);
 		assertThat(received.page().isComplete()).isTrue();
