--- a/core/src/main/java/org/fulmargap/batch/BatchScheduler.java
+++ b/core/src/main/java/org/fulmargap/batch/BatchScheduler.java
@@ -209,7 +209,7 @@
 	}
 
 	private boolean isBetter(WorkItemGroup group, Endpoint endpoint, Endpoint best, long nowMs) {
-		int bySpeed = Double.compare(Math.round(endpoint.slowness()), Math.round(best.slowness()));
+		int bySpeed = Double.compare(Math.round(endpoint.slowdownFactor()), Math.round(best.slowdownFactor()));
 		if (bySpeed != 0) {
 			return bySpeed < 0;
 		}
@@ -252,7 +252,7 @@
 		}
 		items.forEach(this::remove);
 		double expectedMs = expectedMs(items.size());
-		resultSpace(endpoint).callStarted(freeBytes - leftBytes, nowMs + expectedMs * endpoint.slowness());
+		resultSpace(endpoint).callStarted(freeBytes - leftBytes, nowMs + expectedMs * endpoint.slowdownFactor());
 		return new StageCall(endpoint, List.copyOf(items), expectedMs);
 	}
 
--- a/core/src/main/java/org/fulmargap/catalog/Route.java
+++ b/core/src/main/java/org/fulmargap/catalog/Route.java
@@ -50,8 +50,8 @@
 	 * Tells whether a request may be sent to another endpoint after it may have run.
 	 * @return {@code true} if it may
 	 */
-	public boolean isRepeatable() {
-		return this.kind.isRepeatable(this.resumable);
+	public boolean isRetryable() {
+		return this.kind.isRetryable(this.resumable);
 	}
 
 	/**
--- a/core/src/main/java/org/fulmargap/catalog/RouteKind.java
+++ b/core/src/main/java/org/fulmargap/catalog/RouteKind.java
@@ -14,12 +14,12 @@
 	/** The answer is a series of events; the request runs once unless it is resumable. */
 	STREAMING(false, true);
 
-	private final boolean repeatable;
+	private final boolean retryable;
 
 	private final boolean streaming;
 
-	RouteKind(boolean repeatable, boolean streaming) {
-		this.repeatable = repeatable;
+	RouteKind(boolean retryable, boolean streaming) {
+		this.retryable = retryable;
 		this.streaming = streaming;
 	}
 
@@ -28,8 +28,8 @@
 	 * @param resumable whether the route lets streams go on at another endpoint
 	 * @return {@code true} if it may
 	 */
-	public boolean isRepeatable(boolean resumable) {
-		return this.repeatable || (this.streaming && resumable);
+	public boolean isRetryable(boolean resumable) {
+		return this.retryable || (this.streaming && resumable);
 	}
 
 	/**
--- a/core/src/main/java/org/fulmargap/placement/ColdAllowance.java
+++ b/core/src/main/java/org/fulmargap/placement/ColdStartLimiter.java
@@ -4,7 +4,7 @@
  * Spaces the requests of this entry VM to a cold endpoint. All entry VMs together keep to
  * what the endpoint bears because each takes an equal share of its rate.
  */
-final class ColdAllowance {
+final class ColdStartLimiter {
 
 	private static final double MS_PER_SECOND = 1_000;
 
--- a/core/src/main/java/org/fulmargap/placement/Endpoint.java
+++ b/core/src/main/java/org/fulmargap/placement/Endpoint.java
@@ -13,12 +13,12 @@
 	private static final long REPORT_LIFETIME_MS = 1_500;
 
 	/** The weight of the newest call in the moving ratio of measured to expected time. */
-	private static final double SLOWNESS_WEIGHT = 0.25;
+	private static final double SLOWDOWN_WEIGHT = 0.25;
 
 	/** The bounds of that ratio, so that one odd call doesn't decide. */
-	private static final double MIN_SLOWNESS = 0.5;
+	private static final double MIN_SLOWDOWN_FACTOR = 0.5;
 
-	private static final double MAX_SLOWNESS = 20;
+	private static final double MAX_SLOWDOWN_FACTOR = 20;
 
 	private final Map<String, PeerLoad> peerLoads = new HashMap<>();
 
@@ -26,7 +26,7 @@
 
 	private final EndpointHealthState health = new EndpointHealthState();
 
-	private final ColdAllowance coldAllowance = new ColdAllowance();
+	private final ColdStartLimiter coldStartLimiter = new ColdStartLimiter();
 
 	private EndpointRecord record;
 
@@ -38,7 +38,7 @@
 
 	private long prefillTokens;
 
-	private double slowness = 1;
+	private double slowdownFactor = 1;
 
 	private long busyUntilMs = Long.MIN_VALUE;
 
@@ -57,7 +57,7 @@
 	void update(EndpointRecord record, long nowMs) {
 		if (this.record != null && !this.record.isSameProcess(record)) {
 			this.prefixCache.clear();
-			this.slowness = 1;
+			this.slowdownFactor = 1;
 		}
 		this.record = record;
 		this.removeAtMs = Long.MAX_VALUE;
@@ -97,8 +97,8 @@
 		return nowMs < this.coldUntilMs;
 	}
 
-	boolean hasColdAllowance(double perSecond, long nowMs) {
-		return !isCold(nowMs) || this.coldAllowance.isAvailable(perSecond, nowMs);
+	boolean isWithinColdStartLimit(double perSecond, long nowMs) {
+		return !isCold(nowMs) || this.coldStartLimiter.isAvailable(perSecond, nowMs);
 	}
 
 	/**
@@ -113,7 +113,7 @@
 		this.inFlight++;
 		this.prefillTokens += unread;
 		this.prefixCache.add(prompt, cacheTokens);
-		this.coldAllowance.take();
+		this.coldStartLimiter.take();
 		return unread;
 	}
 
@@ -150,8 +150,8 @@
 	public void succeeded(double measuredMs, double expectedMs, long nowMs) {
 		this.health.succeeded(nowMs);
 		if (expectedMs > 0) {
-			double ratio = Math.max(MIN_SLOWNESS, Math.min(MAX_SLOWNESS, measuredMs / expectedMs));
-			this.slowness += SLOWNESS_WEIGHT * (ratio - this.slowness);
+			double ratio = Math.max(MIN_SLOWDOWN_FACTOR, Math.min(MAX_SLOWDOWN_FACTOR, measuredMs / expectedMs));
+			this.slowdownFactor += SLOWDOWN_WEIGHT * (ratio - this.slowdownFactor);
 		}
 	}
 
@@ -245,8 +245,8 @@
 	 * Returns the moving ratio of measured to expected time.
 	 * @return 1 for an endpoint as fast as expected, more for a slower one
 	 */
-	public double slowness() {
-		return this.slowness;
+	public double slowdownFactor() {
+		return this.slowdownFactor;
 	}
 
 	int cachedTokens(Prompt prompt) {
--- a/core/src/main/java/org/fulmargap/placement/Placement.java
+++ b/core/src/main/java/org/fulmargap/placement/Placement.java
@@ -76,7 +76,7 @@
 		int candidates = 0;
 		for (Endpoint endpoint : available) {
 			boolean usable = !excluded.contains(endpoint.record().id()) && (suspended || !endpoint.isSuspended(nowMs))
-					&& endpoint.hasColdAllowance(coldShare, nowMs);
+					&& endpoint.isWithinColdStartLimit(coldShare, nowMs);
 			if (!usable) {
 				continue;
 			}
@@ -91,14 +91,14 @@
 			return Optional.empty();
 		}
 		// Leaves the counter of the cold allowance at the chosen endpoint.
-		best.hasColdAllowance(coldShare, nowMs);
+		best.isWithinColdStartLimit(coldShare, nowMs);
 		return Optional.of(new Choice(best, bestMs, candidates, best.cachedTokens(demand.prompt())));
 	}
 
 	private double costMs(Endpoint endpoint, ServiceSpec service, Demand demand, long nowMs) {
 		double workMs = (service.engine() != null) ? engineMs(endpoint, demand.prompt(), nowMs)
 				: (1 + endpoint.inFlight(nowMs)) * PLAIN_MS_PER_REQUEST;
-		double costMs = workMs * endpoint.slowness() + endpoint.failureShare(nowMs) * FAILURE_MS;
+		double costMs = workMs * endpoint.slowdownFactor() + endpoint.failureShare(nowMs) * FAILURE_MS;
 		if (!endpoint.record().failureDomain().equals(this.ownDomain)) {
 			costMs += REMOTE_DOMAIN_MS;
 		}
--- a/core/src/main/java/org/fulmargap/placement/RetryAllowance.java
+++ b/core/src/main/java/org/fulmargap/placement/SharedRetryBudget.java
@@ -7,7 +7,7 @@
  * This entry VM's share of the repeats that a service may get from all entry VMs within a
  * window. Confined to one thread.
  */
-public final class RetryAllowance {
+public final class SharedRetryBudget {
 
 	/** The part of the users' bounds that is used; the rest covers differing views. */
 	private static final double SAFETY = 0.7;
@@ -26,7 +26,7 @@
 	 * @param slack the further repeats a window, of all entry VMs together
 	 * @param windowMs the length of the window in milliseconds
 	 */
-	public RetryAllowance(double ratio, double slack, long windowMs) {
+	public SharedRetryBudget(double ratio, double slack, long windowMs) {
 		this.ratio = ratio * SAFETY;
 		this.slack = slack * SAFETY;
 		this.windowMs = windowMs;
@@ -48,7 +48,7 @@
 	 * @param nowMs the present time in milliseconds
 	 * @return {@code true} if the repeat may be made
 	 */
-	public boolean tryRepeat(String service, int vmCount, long nowMs) {
+	public boolean tryRetry(String service, int vmCount, long nowMs) {
 		Bucket bucket = this.buckets.computeIfAbsent(service, (name) -> new Bucket());
 		// Half of the share is refilled over the window and half may be saved up: no
 		// window
--- a/core/src/test/java/org/fulmargap/placement/PlacementTests.java
+++ b/core/src/test/java/org/fulmargap/placement/PlacementTests.java
@@ -137,7 +137,7 @@
 	class Cold {
 
 		@Test
-		void allVmsTogetherKeepToTheAllowanceOfAColdEndpoint() {
+		void allVmsTogetherKeepToTheLimitOfAColdEndpoint() {
 			int vmCount = 7;
 			int sent = 0;
 			long playedMs = 3_000;
--- a/core/src/test/java/org/fulmargap/placement/RetryAllowanceProperties.java
+++ b/core/src/test/java/org/fulmargap/placement/SharedRetryBudgetProperties.java
@@ -12,9 +12,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Properties of {@link RetryAllowance}.
+ * Properties of {@link SharedRetryBudget}.
  */
-class RetryAllowanceProperties {
+class SharedRetryBudgetProperties {
 
 	private static final double RATIO = 0.2;
 
@@ -26,24 +26,24 @@
 	void theSumOverAllVmsStaysWithinTheBoundOfEachWindow(@ForAll @IntRange(min = 1, max = 12) int vmCount,
 			@ForAll @LongRange(min = 0, max = 1_000) long seed) {
 		Random random = new Random(seed);
-		RetryAllowance[] vms = new RetryAllowance[vmCount];
+		SharedRetryBudget[] vms = new SharedRetryBudget[vmCount];
 		for (int i = 0; i < vmCount; i++) {
-			vms[i] = new RetryAllowance(RATIO, SLACK, WINDOW_MS);
+			vms[i] = new SharedRetryBudget(RATIO, SLACK, WINDOW_MS);
 		}
 		Deque<Long> firsts = new ArrayDeque<>();
-		Deque<Long> repeats = new ArrayDeque<>();
+		Deque<Long> retries = new ArrayDeque<>();
 		for (long nowMs = 0; nowMs < 40_000; nowMs += 20) {
-			RetryAllowance vm = vms[random.nextInt(vmCount)];
+			SharedRetryBudget vm = vms[random.nextInt(vmCount)];
 			if (random.nextInt(3) == 0) {
 				vm.firstRequest("service");
 				firsts.add(nowMs);
 			}
-			while (vm.tryRepeat("service", vmCount, nowMs)) {
-				repeats.add(nowMs);
+			while (vm.tryRetry("service", vmCount, nowMs)) {
+				retries.add(nowMs);
 			}
-			trim(repeats, nowMs - WINDOW_MS);
+			trim(retries, nowMs - WINDOW_MS);
 			trim(firsts, nowMs - 2 * WINDOW_MS);
-			assertThat(repeats.size()).isLessThanOrEqualTo((int) (RATIO * firsts.size() + SLACK));
+			assertThat(retries.size()).isLessThanOrEqualTo((int) (RATIO * firsts.size() + SLACK));
 		}
 	}
 
--- a/entry/src/main/java/org/fulmargap/entry/EntryVm.java
+++ b/entry/src/main/java/org/fulmargap/entry/EntryVm.java
@@ -26,7 +26,7 @@
 import org.fulmargap.placement.Endpoint;
 import org.fulmargap.placement.PeerLoad;
 import org.fulmargap.placement.Placement;
-import org.fulmargap.placement.RetryAllowance;
+import org.fulmargap.placement.SharedRetryBudget;
 import org.fulmargap.platform.NodeSettings;
 import org.fulmargap.platform.StoreClient;
 import org.fulmargap.routing.CrashQuarantine;
@@ -98,7 +98,7 @@
 		this.metricsPort = metricsPort;
 		this.peers = new PeerNetwork(settings.vm(), System.currentTimeMillis(), this.loop, this.clockMs);
 		EndpointPool pool = new EndpointPool(this.loop, this.clockMs);
-		RetryAllowance retries = new RetryAllowance(settings.retryRatio(), settings.retrySlack(),
+		SharedRetryBudget retries = new SharedRetryBudget(settings.retryRatio(), settings.retrySlack(),
 				settings.retryWindowMs());
 		this.dispatcher = new StageCallDispatcher(this.loop, this.clockMs, this.view, pool, retries,
 				this.peers::vmCount, this.metrics);
--- a/entry/src/main/java/org/fulmargap/entry/endpoint/CallFailure.java
+++ b/entry/src/main/java/org/fulmargap/entry/endpoint/CallFailure.java
@@ -17,18 +17,18 @@
 	/** The answer did not come in time. */
 	TIMED_OUT(true);
 
-	private final boolean maybeRan;
+	private final boolean mayHaveRun;
 
-	CallFailure(boolean maybeRan) {
-		this.maybeRan = maybeRan;
+	CallFailure(boolean mayHaveRun) {
+		this.mayHaveRun = mayHaveRun;
 	}
 
 	/**
 	 * Tells whether the request may have run.
 	 * @return {@code false} if it certainly has not
 	 */
-	public boolean maybeRan() {
-		return this.maybeRan;
+	public boolean mayHaveRun() {
+		return this.mayHaveRun;
 	}
 
 }
--- a/entry/src/main/java/org/fulmargap/entry/request/RequestFlow.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/RequestFlow.java
@@ -29,7 +29,7 @@
 import org.fulmargap.placement.Endpoint;
 import org.fulmargap.placement.Placement;
 import org.fulmargap.placement.Prompt;
-import org.fulmargap.placement.RepeatRule;
+import org.fulmargap.placement.RetryRule;
 import org.fulmargap.platform.CallerRequest;
 import org.fulmargap.platform.EndpointAnswer;
 import org.fulmargap.platform.EndpointHeaders;
@@ -99,7 +99,7 @@
 
 	private EventSplitter events;
 
-	private boolean over;
+	private boolean finished;
 
 	RequestFlow(RequestServices services, CallerExchange exchange, FullHttpRequest http, CallerRequest request,
 			Catalog catalog, Route route, ClientAccount account, String fingerprint) {
@@ -189,7 +189,7 @@
 	}
 
 	private void dispatch() {
-		if (this.over) {
+		if (this.finished) {
 			return;
 		}
 		long nowMs = this.services.nowMs();
@@ -225,9 +225,9 @@
 	}
 
 	private void timeOver() {
-		if (!this.over) {
-			boolean maybeRan = this.runs > 0 || this.call != null;
-			refuse((maybeRan) ? Refusal.TIMED_OUT : Refusal.TOO_LATE);
+		if (!this.finished) {
+			boolean mayHaveRun = this.runs > 0 || this.call != null;
+			refuse((mayHaveRun) ? Refusal.TIMED_OUT : Refusal.TOO_LATE);
 		}
 	}
 
@@ -240,7 +240,7 @@
 	}
 
 	private void refuse(Refusal refusal, long retryAfterMs) {
-		if (this.over) {
+		if (this.finished) {
 			return;
 		}
 		long leftMs = Math.max(0, this.endsAtMs - this.services.nowMs());
@@ -264,7 +264,7 @@
 
 	@Override
 	public void callerLeft() {
-		if (!this.over) {
+		if (!this.finished) {
 			EventLog.request("caller_left", this.request.attemptId())
 				.with("age_ms", this.services.nowMs() - this.arrivedAtMs)
 				.write();
@@ -274,7 +274,7 @@
 	}
 
 	private void finish() {
-		this.over = true;
+		this.finished = true;
 		this.endTimer.cancel(false);
 		this.stageRun.close();
 		if (this.call != null) {
@@ -296,8 +296,8 @@
 		finish();
 	}
 
-	private void callFailed(Call failed, CallFailure failure, boolean maybeRan) {
-		if (maybeRan) {
+	private void callFailed(Call failed, CallFailure failure, boolean mayHaveRun) {
+		if (mayHaveRun) {
 			this.runs++;
 		}
 		String id = failed.endpoint.record().id();
@@ -305,14 +305,14 @@
 		long nowMs = this.services.nowMs();
 		boolean resumable = this.answerBegun && this.route.resumable();
 		boolean allowed = (!this.answerBegun || resumable)
-				&& RepeatRule.mayRepeat(this.route.isRepeatable(), maybeRan, this.runs, this.route.maxAttempts(),
+				&& RetryRule.mayRetry(this.route.isRetryable(), mayHaveRun, this.runs, this.route.maxAttempts(),
 						this.calls)
 				&& this.services.quarantine().verdict(this.fingerprint, nowMs) != CrashQuarantine.Verdict.QUARANTINED
-				&& this.services.retries().tryRepeat(this.service.name(), this.services.peers().vmCount(), nowMs);
+				&& this.services.retries().tryRetry(this.service.name(), this.services.peers().vmCount(), nowMs);
 		EventLog.request("call_failed", this.request.attemptId())
 			.with("endpoint", id)
 			.with("failure", failure)
-			.with("maybe_ran", maybeRan)
+			.with("maybe_ran", mayHaveRun)
 			.with("after_ms", nowMs - failed.sentAtMs)
 			.with("repeat", allowed)
 			.write();
@@ -383,7 +383,7 @@
 
 		private void watch() {
 			RequestFlow flow = RequestFlow.this;
-			if (!flow.route.isRepeatable() || flow.runs + 1 >= flow.route.maxAttempts()) {
+			if (!flow.route.isRetryable() || flow.runs + 1 >= flow.route.maxAttempts()) {
 				return;
 			}
 			double usualMs = flow.services.times().expectedMs(flow.service.name());
@@ -430,7 +430,7 @@
 		}
 
 		private boolean isStream() {
-			return RequestFlow.this.route.kind().isStreaming() && this.answer.isSuccess() && this.answer.sealed();
+			return RequestFlow.this.route.kind().isStreaming() && this.answer.isSuccess() && this.answer.signed();
 		}
 
 		@Override
@@ -508,16 +508,16 @@
 
 		private void endedWhole(long nowMs) {
 			RequestFlow flow = RequestFlow.this;
-			boolean proper = !this.answer.isSuccess() || this.answer.sealed();
+			boolean proper = !this.answer.isSuccess() || this.answer.signed();
 			if (!proper) {
 				this.endpoint.failed(false, nowMs);
 				flow.callFailed(this, CallFailure.WRONG_ANSWER, true);
 				return;
 			}
-			boolean mayRepeat = this.answer.isServerError() && flow.route.isRepeatable()
-					&& RepeatRule.mayRepeat(true, true, flow.runs + 1, flow.route.maxAttempts(), flow.calls)
-					&& flow.services.retries().tryRepeat(flow.service.name(), flow.services.peers().vmCount(), nowMs);
-			if (mayRepeat) {
+			boolean mayRetry = this.answer.isServerError() && flow.route.isRetryable()
+					&& RetryRule.mayRetry(true, true, flow.runs + 1, flow.route.maxAttempts(), flow.calls)
+					&& flow.services.retries().tryRetry(flow.service.name(), flow.services.peers().vmCount(), nowMs);
+			if (mayRetry) {
 				this.endpoint.failed(false, nowMs);
 				flow.runs++;
 				flow.usedEndpoints.add(this.endpoint.record().id());
@@ -568,7 +568,7 @@
 			else if (failure == CallFailure.NOT_CONNECTED) {
 				flow.services.confirmCrash(this.endpoint.record().id(), nowMs);
 			}
-			flow.callFailed(this, failure, failure.maybeRan());
+			flow.callFailed(this, failure, failure.mayHaveRun());
 		}
 
 		private void cancel() {
--- a/entry/src/main/java/org/fulmargap/entry/request/RequestServices.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/RequestServices.java
@@ -14,7 +14,7 @@
 import org.fulmargap.entry.stage.StageClient;
 import org.fulmargap.placement.EndpointRecord;
 import org.fulmargap.placement.Placement;
-import org.fulmargap.placement.RetryAllowance;
+import org.fulmargap.placement.SharedRetryBudget;
 import org.fulmargap.routing.CrashQuarantine;
 
 /**
@@ -36,7 +36,7 @@
  * @param metrics counters and latencies
  */
 public record RequestServices(EventLoop loop, LongSupplier clockMs, StoreView view, Placement placement,
-		RetryAllowance retries, CrashQuarantine quarantine, EndpointPool pool, StageClient stages,
+		SharedRetryBudget retries, CrashQuarantine quarantine, EndpointPool pool, StageClient stages,
 		AdmittedWork admittedWork, AvailableEndpoints endpointReports, PeerNetwork peers, ServiceTimes times,
 		CallerTimes callerTimes, EntryMetrics metrics) {
 
--- a/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
@@ -64,7 +64,7 @@
 
 	private boolean remade;
 
-	private boolean over;
+	private boolean finished;
 
 	/**
 	 * Creates a run.
@@ -144,8 +144,8 @@
 				submit(i, stage);
 			}
 		}
-		if (!this.over && this.stages.stream().allMatch(StageProgress::isDone)) {
-			this.over = true;
+		if (!this.finished && this.stages.stream().allMatch(StageProgress::isDone)) {
+			this.finished = true;
 			this.listener.stagesDone();
 		}
 	}
@@ -174,7 +174,7 @@
 			stage.submitted(itemId);
 			WorkItem item = new WorkItem(itemId, this.request.attemptId(), index, itemIndex, key, inputs, inputDomain,
 					this.priority, this.dueAtMs - behindMs, this.expiresAtMs - behindMs, stage.spec().resultBytes());
-			this.client.submit(stage.service(), item, (outcome) -> finished(stage, itemIndex, outcome));
+			this.client.submit(stage.service(), item, (outcome) -> handleOutcome(stage, itemIndex, outcome));
 		}
 	}
 
@@ -216,11 +216,11 @@
 		return most;
 	}
 
-	private void finished(StageProgress stage, int itemIndex, WorkItemOutcome outcome) {
+	private void handleOutcome(StageProgress stage, int itemIndex, WorkItemOutcome outcome) {
 		if (outcome.status().isLast()) {
 			stage.ended(outcome.itemId());
 		}
-		if (this.over) {
+		if (this.finished) {
 			if (outcome.isDone()) {
 				this.client.release(stage.service(), List.of(outcome.handle()));
 			}
@@ -257,7 +257,7 @@
 	}
 
 	private void failed(StageProgress stage) {
-		this.over = true;
+		this.finished = true;
 		close();
 		this.listener.stageFailed(stage.service());
 	}
@@ -352,7 +352,7 @@
 	 * Withdraws what still waits and gives up all results.
 	 */
 	void close() {
-		this.over = true;
+		this.finished = true;
 		this.stages.forEach((stage) -> {
 			stage.takeItemIds().forEach(this.client::cancel);
 			this.admittedWork.remove(stage.service(), this.priority, stage.takeAdmitted());
--- a/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
@@ -27,7 +27,7 @@
 import org.fulmargap.entry.endpoint.EndpointCall;
 import org.fulmargap.entry.endpoint.EndpointPool;
 import org.fulmargap.placement.Endpoint;
-import org.fulmargap.placement.RetryAllowance;
+import org.fulmargap.placement.SharedRetryBudget;
 import org.fulmargap.platform.EndpointAnswer;
 import org.fulmargap.platform.MalformedRecordException;
 import org.fulmargap.platform.StageCalls;
@@ -61,7 +61,7 @@
 	private static final long READ_INPUTS_MS = 80;
 
 	/** Endpoints slower than usual by this factor are not relied on to have begun. */
-	private static final double MAX_SLOWNESS_TO_RELY_ON = 1.5;
+	private static final double MAX_RELIABLE_SLOWDOWN_FACTOR = 1.5;
 
 	private static final long BYTES_PER_KB = 1_000;
 
@@ -76,7 +76,7 @@
 
 	private final EndpointPool pool;
 
-	private final RetryAllowance retries;
+	private final SharedRetryBudget retries;
 
 	private final IntSupplier vmCount;
 
@@ -97,7 +97,7 @@
 	 * @param metrics counters and latencies
 	 */
 	public StageCallDispatcher(EventLoop loop, LongSupplier clockMs, StoreView view, EndpointPool pool,
-			RetryAllowance retries, IntSupplier vmCount, EntryMetrics metrics) {
+			SharedRetryBudget retries, IntSupplier vmCount, EntryMetrics metrics) {
 		this.loop = loop;
 		this.clockMs = clockMs;
 		this.view = view;
@@ -196,7 +196,7 @@
 	private static double speed(List<Endpoint> endpoints, long nowMs) {
 		return endpoints.stream()
 			.filter((endpoint) -> !endpoint.isSuspended(nowMs))
-			.mapToDouble((endpoint) -> 1 / Math.max(1, endpoint.slowness()))
+			.mapToDouble((endpoint) -> 1 / Math.max(1, endpoint.slowdownFactor()))
 			.sum();
 	}
 
@@ -287,7 +287,7 @@
 					StageCalls.RUN_PATH, StageCalls.encode(call.items(), nowMs), call.endpoint().record().id()),
 					running);
 			double timeoutMs = Math.max(LEAST_CALL_TIMEOUT_MS,
-					call.expectedMs() * CALL_TIMEOUT_FACTOR * Math.max(1, call.endpoint().slowness()));
+					call.expectedMs() * CALL_TIMEOUT_FACTOR * Math.max(1, call.endpoint().slowdownFactor()));
 			StageCallDispatcher.this.loop.schedule(running::inputsRead, READ_INPUTS_MS, TimeUnit.MILLISECONDS);
 			running.timeout = StageCallDispatcher.this.loop.schedule(running::timedOut, (long) timeoutMs,
 					TimeUnit.MILLISECONDS);
@@ -320,7 +320,7 @@
 				return;
 			}
 			boolean allowed = entry.calls < MAX_CALLS_PER_ITEM && (!mayHaveRun || StageCallDispatcher.this.retries
-				.tryRepeat(this.service, StageCallDispatcher.this.vmCount.getAsInt(), nowMs));
+				.tryRetry(this.service, StageCallDispatcher.this.vmCount.getAsInt(), nowMs));
 			if (allowed) {
 				this.scheduler.add(item);
 			}
@@ -362,7 +362,7 @@
 
 		private EndpointAnswer answer;
 
-		private boolean over;
+		private boolean finished;
 
 		private RunningCall(ServiceQueue queue, StageCall call, long startedAtMs) {
 			this.queue = queue;
@@ -396,7 +396,7 @@
 			}
 			else {
 				this.call.endpoint().failed(true, nowMs);
-				repeatAll("status_" + this.answer.status(), true, nowMs);
+				retryAll("status_" + this.answer.status(), true, nowMs);
 			}
 			this.queue.scheduleDispatch();
 		}
@@ -408,7 +408,7 @@
 			else {
 				this.call.endpoint().refused(nowMs + FULL_PAUSE_MS);
 			}
-			repeatAll("refused_" + this.answer.status(), true, nowMs);
+			retryAll("refused_" + this.answer.status(), true, nowMs);
 		}
 
 		private void deliver(long nowMs) {
@@ -418,7 +418,7 @@
 			}
 			catch (MalformedRecordException ex) {
 				this.call.endpoint().failed(true, nowMs);
-				repeatAll("malformed", true, nowMs);
+				retryAll("malformed", true, nowMs);
 				return;
 			}
 			this.call.endpoint().succeeded(nowMs - this.startedAtMs, this.call.expectedMs(), nowMs);
@@ -461,13 +461,13 @@
 		public void failed(CallFailure failure) {
 			long nowMs = close();
 			this.call.endpoint().failed(true, nowMs);
-			repeatAll(failure.name(), failure.maybeRan(), nowMs);
+			retryAll(failure.name(), failure.mayHaveRun(), nowMs);
 			this.queue.scheduleDispatch();
 		}
 
 		// The endpoint was idle, so its turn came at once: the inputs may go.
 		private void inputsRead() {
-			if (this.over || this.call.endpoint().slowness() > MAX_SLOWNESS_TO_RELY_ON) {
+			if (this.finished || this.call.endpoint().slowdownFactor() > MAX_RELIABLE_SLOWDOWN_FACTOR) {
 				return;
 			}
 			for (WorkItem item : this.call.items()) {
@@ -484,13 +484,13 @@
 		}
 
 		private long close() {
-			this.over = true;
+			this.finished = true;
 			this.timeout.cancel(false);
 			this.queue.scheduler.ended(this.call);
 			return StageCallDispatcher.this.clockMs.getAsLong();
 		}
 
-		private void repeatAll(String reason, boolean mayHaveRun, long nowMs) {
+		private void retryAll(String reason, boolean mayHaveRun, long nowMs) {
 			EventLog.state("stage_call_failed")
 				.with("service", this.queue.service)
 				.with("endpoint", this.call.endpoint())
--- a/entry/src/test/java/org/fulmargap/entry/EntryVmTests.java
+++ b/entry/src/test/java/org/fulmargap/entry/EntryVmTests.java
@@ -57,13 +57,13 @@
 	class PlainRequests {
 
 		@Test
-		void theAnswerOfAnEndpointIsPassedOnWithItsSeal() throws Exception {
+		void theAnswerOfAnEndpointIsPassedOnWithItsSignature() throws Exception {
 			EndpointStandIn core = endpoint("core-1", "core");
 			startVms(1);
 			HttpResponse<String> response = send("/read/x");
 			assertThat(response.statusCode()).isEqualTo(200);
 			assertThat(response.body()).isEqualTo("done by core-1");
-			assertThat(response.headers().firstValue(CallerWire.SEAL)).contains("seal-of-core-1");
+			assertThat(response.headers().firstValue(CallerWire.SIGNATURE)).contains("seal-of-core-1");
 			assertThat(core.requests().get(0)).containsEntry(CallerWire.ACCOUNT, "chain")
 				.doesNotContainKey("authorization");
 		}
