--- a/core/src/main/java/org/fulmargap/batch/AdmittedWork.java
+++ b/core/src/main/java/org/fulmargap/batch/AdmittedWork.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * The pieces that admitted requests still need of each stage service, those of stages
+ * The work items that admitted requests still need of each stage service, those of stages
  * that have not begun included: of this VM and, from their heartbeats, of its peers.
  * Confined to one thread.
  */
@@ -21,10 +21,10 @@
 	private final Map<String, Report> reports = new HashMap<>();
 
 	/**
-	 * Records pieces that were admitted.
+	 * Records work items that were admitted.
 	 * @param service the service
 	 * @param rank the rank of their request
-	 * @param items the number of pieces
+	 * @param items the number of work items
 	 */
 	public void add(String service, int rank, int items) {
 		int[] byRank = this.own.computeIfAbsent(service, (name) -> new int[RANKS]);
@@ -32,18 +32,18 @@
 	}
 
 	/**
-	 * Records pieces that are done or no longer needed.
+	 * Records work items that are done or no longer needed.
 	 * @param service the service
 	 * @param rank the rank of their request
-	 * @param items the number of pieces
+	 * @param items the number of work items
 	 */
 	public void remove(String service, int rank, int items) {
 		add(service, rank, -items);
 	}
 
 	/**
-	 * Returns this VM's pieces, for heartbeats.
-	 * @return the pieces by rank, by service
+	 * Returns this VM's work items, for heartbeats.
+	 * @return the work items by rank, by service
 	 */
 	public Map<String, int[]> own() {
 		Map<String, int[]> copy = new HashMap<>();
@@ -54,7 +54,7 @@
 	/**
 	 * Takes over a peer's report.
 	 * @param peer the name of the peer
-	 * @param items its pieces by rank, by service
+	 * @param items its work items by rank, by service
 	 * @param nowMs the present time in milliseconds
 	 */
 	public void recordReport(String peer, Map<String, int[]> items, long nowMs) {
@@ -62,11 +62,11 @@
 	}
 
 	/**
-	 * Returns the pieces that go before those of a new request.
+	 * Returns the work items that go before those of a new request.
 	 * @param service the service
 	 * @param rank the rank of the new request
 	 * @param nowMs the present time in milliseconds
-	 * @return the number of pieces of all VMs that are as urgent or more urgent
+	 * @return the number of work items of all VMs that are as urgent or more urgent
 	 */
 	public int itemsAhead(String service, int rank, long nowMs) {
 		int sum = sum(this.own.get(service), rank);
--- a/core/src/main/java/org/fulmargap/batch/AvailableEndpoints.java
+++ b/core/src/main/java/org/fulmargap/batch/AvailableEndpoints.java
@@ -29,7 +29,7 @@
 	/**
 	 * Returns the endpoints of a service that work.
 	 * @param service the name of the service
-	 * @param coordinator the VM that is in charge of it
+	 * @param coordinator the VM that makes the calls of the service
 	 * @param listed the endpoints that the platform lists, which count without a report
 	 * @param nowMs the present time in milliseconds
 	 * @return the number of endpoints of usual speed
--- a/core/src/main/java/org/fulmargap/batch/BatchScheduler.java
+++ b/core/src/main/java/org/fulmargap/batch/BatchScheduler.java
@@ -13,23 +13,25 @@
 import org.fulmargap.placement.Endpoint;
 
 /**
- * Forms the calls to the endpoints of one stage service out of the pieces of all entry
- * VMs. An endpoint gets its next call when the one before is done, so that pieces which
- * arrive meanwhile share that call: on busy days calls fill up by themselves, on calm
- * days no piece waits for company.
+ * Forms the calls to the endpoints of one stage service out of the work items of all
+ * entry VMs. An endpoint gets its next call when the one before is done, so that work
+ * items which arrive meanwhile share that call: on busy days calls fill up by themselves,
+ * on calm days no work item waits for company.
  * <p>
- * The most urgent pieces go first: those of more urgent requests, then those that are due
- * earlier. In an overload that order alone would make every request late, so pieces that
- * are late already wait behind those that can still be in time.
+ * The most urgent work items go first: those of more urgent requests, then those that are
+ * due earlier. In an overload that order alone would make every request late, so work
+ * items that are late already wait behind those that can still be in time.
  * <p>
- * Room for results binds before the time of the endpoints does. The pieces of one stage
- * of one request share a call where they can, because the results of the first ones take
- * up room until the last one is done, and results that were read may go when others need
- * their room. Confined to one thread.
+ * Room for results binds before the time of the endpoints does. The work items of one
+ * stage of one request share a call where they can, because the results of the first ones
+ * take up room until the last one is done, and results that were read may go when others
+ * need their room. Confined to one thread.
  */
 public final class BatchScheduler {
 
-	/** How much earlier a piece is due for each rank of its request, in milliseconds. */
+	/**
+	 * How much earlier a work item is due for each rank of its request, in milliseconds.
+	 */
 	private static final long RANK_MS = 600;
 
 	/**
@@ -37,7 +39,7 @@
 	 */
 	private static final double SIZE_MARGIN = 1.05;
 
-	/** A call is chosen among the most urgent pieces: this many times its size. */
+	/** A call is chosen among the most urgent work items: this many times its size. */
 	private static final double CANDIDATE_BATCHES = 2.5;
 
 	/** While this many full calls wait, no endpoint is left idle. */
@@ -79,16 +81,16 @@
 	}
 
 	/**
-	 * Adds a piece.
-	 * @param item the piece
+	 * Adds a work item.
+	 * @param item the work item
 	 */
 	public void add(WorkItem item) {
 		this.waiting.add(item);
 	}
 
 	/**
-	 * Removes a piece that waits.
-	 * @param item the piece
+	 * Removes a work item that waits.
+	 * @param item the work item
 	 * @return whether it was waiting
 	 */
 	public boolean remove(WorkItem item) {
@@ -96,7 +98,7 @@
 	}
 
 	/**
-	 * Returns the number of pieces that wait.
+	 * Returns the number of work items that wait.
 	 * @return the number
 	 */
 	public int waitingCount() {
@@ -104,7 +106,7 @@
 	}
 
 	/**
-	 * Returns the number of pieces that wait although they are late already.
+	 * Returns the number of work items that wait although they are late already.
 	 * @return the number
 	 */
 	public int lateCount() {
@@ -112,7 +114,7 @@
 	}
 
 	/**
-	 * Returns the number of pieces of a call whose inputs lie beside its endpoint.
+	 * Returns the number of work items of a call whose inputs lie beside its endpoint.
 	 * @param call the call
 	 * @return the number
 	 */
@@ -134,14 +136,14 @@
 	}
 
 	/**
-	 * Removes the pieces that can't be done any more while somebody can use them,
-	 * counting the pieces before them, and puts the late ones behind the others.
+	 * Removes the work items that can't be done any more while somebody can use them,
+	 * counting the work items before them, and puts the late ones behind the others.
 	 * @param endpoints the number of endpoints that work
 	 * @param nowMs the present time in milliseconds
-	 * @return the removed pieces
+	 * @return the removed work items
 	 */
 	public List<WorkItem> expire(int endpoints, long nowMs) {
-		// While many pieces wait, calls are full and take longer.
+		// While many work items wait, calls are full and take longer.
 		double expectedCallMs = expectedMs(Math.min(this.capacity.batch(), Math.max(1, waitingCount())));
 		for (Iterator<WorkItem> i = this.waiting.iterator(); i.hasNext();) {
 			WorkItem item = i.next();
@@ -176,7 +178,7 @@
 	 * Forms the next call.
 	 * @param endpoints the endpoints that may get work
 	 * @param nowMs the present time in milliseconds
-	 * @return the call, or empty if no piece waits or no endpoint is free
+	 * @return the call, or empty if no work item waits or no endpoint is free
 	 */
 	public Optional<StageCall> next(List<Endpoint> endpoints, long nowMs) {
 		List<Endpoint> free = endpoints.stream().filter((endpoint) -> isFree(endpoint, nowMs)).toList();
@@ -218,7 +220,8 @@
 	}
 
 	// Large inputs are not moved to another failure domain if an endpoint beside them is
-	// done with its call soon enough. While many pieces wait, no endpoint is left idle.
+	// done with its call soon enough. While many work items wait, no endpoint is left
+	// idle.
 	private boolean waitsForLocal(WorkItemGroup group, Endpoint endpoint, List<Endpoint> endpoints, long nowMs) {
 		if (group.isLocal(endpoint) || waitingCount() > this.capacity.batch() * BUSY_BATCHES) {
 			return false;
@@ -290,7 +293,7 @@
 
 	/**
 	 * Returns the time that a call takes at an endpoint of usual speed.
-	 * @param items the number of pieces
+	 * @param items the number of work items
 	 * @return the time in milliseconds
 	 */
 	public double expectedMs(int items) {
@@ -348,8 +351,8 @@
 	}
 
 	/**
-	 * Chooses results that may go because others need their room: while pieces wait, an
-	 * endpoint should have room for a full call.
+	 * Chooses results that may go because others need their room: while work items wait,
+	 * an endpoint should have room for a full call.
 	 * @param nowMs the present time in milliseconds
 	 * @return the names of the results
 	 */
--- a/core/src/main/java/org/fulmargap/batch/PipelineEstimate.java
+++ b/core/src/main/java/org/fulmargap/batch/PipelineEstimate.java
@@ -6,8 +6,8 @@
 
 /**
  * Estimates when the stages of a new request would be done. On days of high load one
- * service is the bottleneck: the request waits there for the pieces before it, and spends
- * the time of one call in each of its stages.
+ * service is the bottleneck: the request waits there for the work items before it, and
+ * spends the time of one call in each of its stages.
  */
 public final class PipelineEstimate {
 
@@ -22,7 +22,7 @@
 
 	/**
 	 * Estimates the time.
-	 * @param stages the stages in which the request has pieces
+	 * @param stages the stages in which the request has work items
 	 * @return the time in milliseconds
 	 */
 	public static double stagesMs(List<StageLoad> stages) {
@@ -39,7 +39,7 @@
 
 	/**
 	 * Estimates the time without other requests.
-	 * @param stages the stages in which the request has pieces
+	 * @param stages the stages in which the request has work items
 	 * @return the time in milliseconds
 	 */
 	public static double unloadedMs(List<StageLoad> stages) {
@@ -51,7 +51,7 @@
 	 *
 	 * @param capacity what one endpoint can take
 	 * @param endpoints the endpoints that work, in units of endpoints of usual speed
-	 * @param itemsAhead the pieces that go before those of the request
+	 * @param itemsAhead the work items that go before those of the request
 	 * @param depth the stages on the longest way to the end of this one, itself included
 	 */
 	public record StageLoad(StageCapacity capacity, double endpoints, int itemsAhead, int depth) {
--- a/core/src/main/java/org/fulmargap/batch/ResultSpace.java
+++ b/core/src/main/java/org/fulmargap/batch/ResultSpace.java
@@ -57,7 +57,7 @@
 	}
 
 	/**
-	 * Takes spare results until enough room would be free.
+	 * Takes evictable results until enough room would be free.
 	 * @param bytes the room that is wanted beyond what is free, in bytes
 	 * @return the names of the results, the oldest ones first
 	 */
--- a/core/src/main/java/org/fulmargap/batch/StageCall.java
+++ b/core/src/main/java/org/fulmargap/batch/StageCall.java
@@ -5,10 +5,10 @@
 import org.fulmargap.placement.Endpoint;
 
 /**
- * A call with pieces to one endpoint.
+ * A call with work items to one endpoint.
  *
  * @param endpoint the endpoint
- * @param items the pieces in the order of the call
+ * @param items the work items in the order of the call
  * @param expectedMs the expected time of the call in milliseconds
  */
 public record StageCall(Endpoint endpoint, List<WorkItem> items, double expectedMs) {
--- a/core/src/main/java/org/fulmargap/batch/package-info.java
+++ b/core/src/main/java/org/fulmargap/batch/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Decides which pieces of stage work share a call and which endpoint gets it.
+ * Decides which work items of stage work share a call and which endpoint gets it.
  */
 package org.fulmargap.batch;
--- a/core/src/main/java/org/fulmargap/catalog/Route.java
+++ b/core/src/main/java/org/fulmargap/catalog/Route.java
@@ -92,7 +92,7 @@
 		for (int i = 0; i < this.stages.size(); i++) {
 			indexes.add(i);
 		}
-		this.stages.forEach((stage) -> indexes.removeAll(stage.after()));
+		this.stages.forEach((stage) -> indexes.removeAll(stage.dependencies()));
 		return indexes;
 	}
 
--- a/core/src/main/java/org/fulmargap/placement/SharedRetryBudget.java
+++ b/core/src/main/java/org/fulmargap/placement/SharedRetryBudget.java
@@ -21,7 +21,7 @@
 	private final long windowMs;
 
 	/**
-	 * Creates an allowance.
+	 * Creates a budget.
 	 * @param ratio the repeats that each first request earns
 	 * @param slack the further repeats a window, of all entry VMs together
 	 * @param windowMs the length of the window in milliseconds
--- a/core/src/test/java/org/fulmargap/batch/BatchSchedulerTests.java
+++ b/core/src/test/java/org/fulmargap/batch/BatchSchedulerTests.java
@@ -174,7 +174,8 @@
 	@Nested
 	class Hopeless {
 
-		// One endpoint does four pieces in 240 ms: 20 pieces before the last one take 1.2
+		// One endpoint does four work items in 240 ms: 20 work items before the last one
+		// take 1.2
 		// s.
 		@Test
 		void anItemBehindMoreThanCanBeDoneInTimeIsRefusedAtOnce() {
--- a/core/src/test/java/org/fulmargap/batch/PipelineLoad.java
+++ b/core/src/test/java/org/fulmargap/batch/PipelineLoad.java
@@ -77,7 +77,7 @@
 	}
 
 	/**
-	 * Prepares requests of three stages: one piece of {@code store-portal}, six of
+	 * Prepares requests of three stages: one work item of {@code store-portal}, six of
 	 * {@code chain-sync} and ten of {@code legacy-bridge}.
 	 * @param sparing whether inputs are given up once they are read, not when their
 	 * reader is done
@@ -95,7 +95,7 @@
 	}
 
 	/**
-	 * Prepares requests of one stage: two pieces of {@code store-portal} with large
+	 * Prepares requests of one stage: two work items of {@code store-portal} with large
 	 * results.
 	 * @param heartbeatMs how often the entry VMs tell each other what they admitted, in
 	 * milliseconds
--- a/core/src/test/java/org/fulmargap/batch/PipelineLoadTests.java
+++ b/core/src/test/java/org/fulmargap/batch/PipelineLoadTests.java
@@ -57,7 +57,7 @@
 
 		@Test
 		void largeInputsMostlyStayInTheirFailureDomain() {
-			// Without regard to domains, 5 of 8 pieces would read their inputs from
+			// Without regard to domains, 5 of 8 work items would read their inputs from
 			// another one.
 			assertThat(play(AVERAGE).remoteShare()).isLessThan(0.1);
 		}
--- a/core/src/test/java/org/fulmargap/batch/StageLoadTests.java
+++ b/core/src/test/java/org/fulmargap/batch/StageLoadTests.java
@@ -17,8 +17,8 @@
 
 /**
  * Plays the load of a stage service from the users' sheets in virtual time and checks
- * what callers get: {@code chain-sync} with four endpoints, 17 pieces a call, requests of
- * six pieces each.
+ * what callers get: {@code chain-sync} with four endpoints, 17 work items a call,
+ * requests of six work items each.
  */
 class StageLoadTests {
 
@@ -58,7 +58,7 @@
 
 	@Test
 	void anOverloadWithoutUrgentRequestsStillServesItsShareInTime() {
-		// 183 pieces a second are the most that four endpoints can do: 30.5 requests.
+		// 183 work items a second are the most that four endpoints can do: 30.5 requests.
 		assertThat(play(40, 0, false).inTimeShare()).isGreaterThan(0.5);
 	}
 
@@ -115,7 +115,7 @@
 		}
 	}
 
-	// The naive way: a call holds the pieces of one request.
+	// The naive way: a call holds the work items of one request.
 	private static StageCall firstRequestOnly(BatchScheduler scheduler, StageCall call) {
 		String id = call.items().get(0).attemptId();
 		List<WorkItem> own = call.items().stream().filter((item) -> item.attemptId().equals(id)).toList();
--- a/entry/src/main/java/org/fulmargap/entry/StoreWatch.java
+++ b/entry/src/main/java/org/fulmargap/entry/StoreWatch.java
@@ -278,10 +278,10 @@
 	private void memberPage(StorePage page) {
 		for (KeyedRecord record : page.records()) {
 			if (record.isRemoval()) {
-				this.peers.forgotten(record.key());
+				this.peers.removePeer(record.key());
 			}
 			else {
-				this.peers.known(record.key(), new String(record.value(), StandardCharsets.UTF_8));
+				this.peers.updatePeer(record.key(), new String(record.value(), StandardCharsets.UTF_8));
 			}
 		}
 	}
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerListener.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerListener.java
@@ -28,8 +28,8 @@
 	List<PeerMessage.Load> loads();
 
 	/**
-	 * Returns the pieces that this VM's requests still need, for heartbeats.
-	 * @return the pieces by rank, by service
+	 * Returns the work items that this VM's requests still need, for heartbeats.
+	 * @return the work items by rank, by service
 	 */
 	Map<String, int[]> admittedItems();
 
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerMessage.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerMessage.java
@@ -31,7 +31,8 @@
 	 * @param receiverHeard whether the sender hears the receiver; a connection can go
 	 * silent without being closed, which only the other end notices
 	 * @param loads what it has in flight, only for endpoints with load
-	 * @param admittedItems the pieces that its requests still need, by rank, by service
+	 * @param admittedItems the work items that its requests still need, by rank, by
+	 * service
 	 * @param availableEndpoints the endpoints that work, of the services that the sender
 	 * makes calls to, in units of endpoints of usual speed
 	 * @param nextOffsets how far it knows each topic of the store, in the order of the
@@ -79,16 +80,16 @@
 	}
 
 	/**
-	 * Pieces for the VM that is in charge of a service.
+	 * Work items for the VM that makes the calls of a service.
 	 *
 	 * @param service the service
-	 * @param items the pieces, with times in the receiver's clock
+	 * @param items the work items, with times in the receiver's clock
 	 */
 	record WorkItems(String service, List<WorkItem> items) implements PeerMessage {
 	}
 
 	/**
-	 * What came of pieces.
+	 * What came of work items.
 	 *
 	 * @param outcomes the outcomes
 	 */
@@ -96,9 +97,9 @@
 	}
 
 	/**
-	 * A piece is no longer needed.
+	 * A work item is no longer needed.
 	 *
-	 * @param itemId the number of the piece
+	 * @param itemId the number of the work item
 	 */
 	record Cancellation(long itemId) implements PeerMessage {
 	}
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerNetwork.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerNetwork.java
@@ -120,7 +120,7 @@
 	 * @param vm the name of the VM
 	 * @param address its address as {@code IP:port}
 	 */
-	public void known(String vm, String address) {
+	public void updatePeer(String vm, String address) {
 		if (vm.equals(this.ownName)) {
 			return;
 		}
@@ -137,7 +137,7 @@
 	 * Forgets a VM that has left.
 	 * @param vm the name of the VM
 	 */
-	public void forgotten(String vm) {
+	public void removePeer(String vm) {
 		Peer peer = this.peers.remove(vm);
 		if (peer != null) {
 			peer.removed = true;
@@ -178,7 +178,7 @@
 	}
 
 	/**
-	 * Returns the VM that is in charge of a service, in the view of this VM.
+	 * Returns the VM that makes the calls of a service, in the view of this VM.
 	 * @param service the name of the service
 	 * @return the name of the VM
 	 */
--- a/entry/src/main/java/org/fulmargap/entry/request/RequestServices.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/RequestServices.java
@@ -28,8 +28,8 @@
  * @param quarantine requests that crash endpoints
  * @param pool connections to endpoints
  * @param stages runs stages
- * @param admittedWork the pieces that admitted requests still need
- * @param endpointReports the stage endpoints that work
+ * @param admittedWork the work items that admitted requests still need
+ * @param endpointReports the available stage endpoints, as reported by the VMs
  * @param peers the other entry VMs
  * @param times usual times of services
  * @param callerTimes the time that callers give their requests
--- a/entry/src/main/java/org/fulmargap/entry/request/StageProgress.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/StageProgress.java
@@ -36,7 +36,7 @@
 	/**
 	 * Creates the progress of a stage that has not begun.
 	 * @param spec the stage
-	 * @param itemCount the number of its pieces; 0 if the request omits the stage
+	 * @param itemCount the number of its work items; 0 if the request omits the stage
 	 */
 	StageProgress(StageSpec spec, int itemCount) {
 		this.spec = spec;
@@ -78,7 +78,7 @@
 	}
 
 	/**
-	 * Tells whether all pieces have read their inputs.
+	 * Tells whether all work items have read their inputs.
 	 * @return {@code true} if the inputs are needed again only if a call fails
 	 */
 	boolean needsNoInputs() {
@@ -94,7 +94,7 @@
 	}
 
 	/**
-	 * Returns the pieces that have no result.
+	 * Returns the work items that have no result.
 	 * @return their indexes
 	 */
 	List<Integer> missing() {
@@ -116,8 +116,8 @@
 	}
 
 	/**
-	 * Takes the pieces that were submitted and have not ended.
-	 * @return the numbers of the pieces, which are forgotten here
+	 * Takes the work items that were submitted and have not ended.
+	 * @return the numbers of the work items, which are forgotten here
 	 */
 	List<Long> takeItemIds() {
 		List<Long> taken = List.copyOf(this.itemIds);
@@ -137,8 +137,8 @@
 	}
 
 	/**
-	 * Commits to all pieces.
-	 * @return the number of pieces that count as work from now on
+	 * Commits to all work items.
+	 * @return the number of work items that count as work from now on
 	 */
 	int admit() {
 		this.admitted = this.outcomes.length;
@@ -147,7 +147,7 @@
 
 	/**
 	 * Gives up what is left.
-	 * @return the number of pieces that count as work no more
+	 * @return the number of work items that count as work no more
 	 */
 	int takeAdmitted() {
 		int left = this.admitted;
@@ -156,7 +156,7 @@
 	}
 
 	/**
-	 * Prepares the pieces without a result to be submitted anew.
+	 * Prepares the work items without a result to be submitted anew.
 	 */
 	void rewind() {
 		this.started = false;
@@ -167,7 +167,7 @@
 
 	/**
 	 * Forgets all results, so that they are made anew.
-	 * @return the number of pieces that count as work again
+	 * @return the number of work items that count as work again
 	 */
 	int forget() {
 		int again = this.done;
@@ -180,7 +180,7 @@
 
 	/**
 	 * Returns the results.
-	 * @return the outcomes of the pieces that are done
+	 * @return the outcomes of the work items that are done
 	 */
 	List<WorkItemOutcome> results() {
 		return Arrays.stream(this.outcomes).filter(Objects::nonNull).toList();
--- a/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
@@ -26,7 +26,9 @@
  */
 final class StageRun {
 
-	/** What a stage is expected to take, in milliseconds, to order pieces by urgency. */
+	/**
+	 * What a stage is expected to take, in milliseconds, to order work items by urgency.
+	 */
 	private static final long STAGE_MS = 260;
 
 	/**
@@ -69,8 +71,8 @@
 	/**
 	 * Creates a run.
 	 * @param clockMs the present time in milliseconds
-	 * @param client runs pieces
-	 * @param admittedWork the pieces that admitted requests still need
+	 * @param client runs work items
+	 * @param admittedWork the work items that admitted requests still need
 	 * @param route the route
 	 * @param request what the caller asks for
 	 * @param engineDomain the failure domain of the engine that will probably run the
@@ -124,7 +126,7 @@
 
 	private int depth(int index) {
 		int most = 0;
-		for (int before : this.stages.get(index).spec().after()) {
+		for (int before : this.stages.get(index).spec().dependencies()) {
 			most = Math.max(most, depth(before));
 		}
 		return most + ((!this.stages.get(index).isOmitted()) ? 1 : 0);
@@ -138,7 +140,7 @@
 	private void advance() {
 		for (int i = 0; i < this.stages.size(); i++) {
 			StageProgress stage = this.stages.get(i);
-			boolean ready = stage.spec().after().stream().allMatch((index) -> this.stages.get(index).isDone());
+			boolean ready = stage.spec().dependencies().stream().allMatch((index) -> this.stages.get(index).isDone());
 			if (!stage.isStarted() && ready && !isEarly(i)) {
 				stage.start(this.clockMs.getAsLong());
 				submit(i, stage);
@@ -165,8 +167,8 @@
 
 	private void submit(int index, StageProgress stage) {
 		List<String> inputs = new ArrayList<>();
-		stage.spec().after().forEach((before) -> inputs.addAll(this.stages.get(before).handles()));
-		String key = (stage.spec().after().isEmpty()) ? this.request.inputKey() : "";
+		stage.spec().dependencies().forEach((before) -> inputs.addAll(this.stages.get(before).handles()));
+		String key = (stage.spec().dependencies().isEmpty()) ? this.request.inputKey() : "";
 		String inputDomain = inputDomain(stage);
 		long behindMs = FIRST_EVENT_MS + this.promptMs + followers(index) * STAGE_MS;
 		for (int itemIndex : stage.missing()) {
@@ -181,14 +183,14 @@
 	// Results that go to the request itself are best made beside the engine that will
 	// probably run it.
 	private String inputDomain(StageProgress stage) {
-		if (stage.spec().after().isEmpty()) {
+		if (stage.spec().dependencies().isEmpty()) {
 			return (stage.spec().resultBytes() >= LARGE_RESULT_BYTES) ? this.engineDomain : "";
 		}
 		if (inputBytes(stage) < LARGE_RESULT_BYTES) {
 			return "";
 		}
 		Map<String, Integer> counts = new HashMap<>();
-		for (int before : stage.spec().after()) {
+		for (int before : stage.spec().dependencies()) {
 			for (WorkItemOutcome outcome : this.stages.get(before).results()) {
 				counts.merge(outcome.failureDomain(), 1, Integer::sum);
 			}
@@ -196,10 +198,10 @@
 		return counts.entrySet().stream().max(Map.Entry.comparingByValue()).map(Map.Entry::getKey).orElse("");
 	}
 
-	// Each piece of a stage reads all its inputs.
+	// Each work item of a stage reads all its inputs.
 	private long inputBytes(StageProgress stage) {
 		long bytes = 0;
-		for (int before : stage.spec().after()) {
+		for (int before : stage.spec().dependencies()) {
 			StageProgress inputs = this.stages.get(before);
 			bytes += inputs.itemCount() * inputs.spec().resultBytes();
 		}
@@ -209,7 +211,7 @@
 	private long followers(int index) {
 		long most = 0;
 		for (int i = index + 1; i < this.stages.size(); i++) {
-			if (this.route.stages().get(i).after().contains(index) && !this.stages.get(i).isOmitted()) {
+			if (this.route.stages().get(i).dependencies().contains(index) && !this.stages.get(i).isOmitted()) {
 				most = Math.max(most, 1 + followers(i));
 			}
 		}
@@ -278,7 +280,7 @@
 	private void rewind(StageProgress stage) {
 		stage.takeItemIds().forEach(this.client::cancel);
 		stage.rewind();
-		for (int index : stage.spec().after()) {
+		for (int index : stage.spec().dependencies()) {
 			StageProgress before = this.stages.get(index);
 			release(before);
 			this.admittedWork.add(before.service(), this.priority, before.forget());
@@ -289,7 +291,7 @@
 	// Results that no stage has to read any more take up room for nothing.
 	private List<StageProgress> unneededInputs(StageProgress reader) {
 		return reader.spec()
-			.after()
+			.dependencies()
 			.stream()
 			.map(this.stages::get)
 			.filter((before) -> readers(before).allMatch(StageProgress::needsNoInputs))
@@ -302,7 +304,7 @@
 
 	private Stream<StageProgress> readers(StageProgress stage) {
 		int index = this.stages.indexOf(stage);
-		return this.stages.stream().filter((reader) -> reader.spec().after().contains(index));
+		return this.stages.stream().filter((reader) -> reader.spec().dependencies().contains(index));
 	}
 
 	private void markEvictable(StageProgress stage) {
--- a/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
@@ -34,8 +34,8 @@
 import org.fulmargap.platform.WorkItemResult;
 
 /**
- * Makes the calls of the stage services that this VM is in charge of, with the pieces of
- * all entry VMs. Confined to the event loop.
+ * Makes the calls of the stage services that this VM is in charge of, with the work items
+ * of all entry VMs. Confined to the event loop.
  */
 public final class StageCallDispatcher {
 
@@ -48,10 +48,10 @@
 	/** How long an endpoint that is full gets nothing, in milliseconds. */
 	private static final long FULL_PAUSE_MS = 60;
 
-	/** The calls in which one piece may be. */
+	/** The calls in which one work item may be. */
 	private static final int MAX_CALLS_PER_ITEM = 3;
 
-	/** How often pieces that wait are looked at, in milliseconds. */
+	/** How often work items that wait are looked at, in milliseconds. */
 	private static final long TICK_MS = 50;
 
 	/**
@@ -109,11 +109,11 @@
 	}
 
 	/**
-	 * Takes a piece.
+	 * Takes a work item.
 	 * @param service the service of its stage
-	 * @param item the piece
+	 * @param item the work item
 	 * @param outcome hears what becomes of it
-	 * @return what withdraws the piece
+	 * @return what cancels the work item
 	 */
 	public Runnable submit(String service, WorkItem item, Consumer<WorkItemOutcome> outcome) {
 		ServiceSpec spec = this.view.catalog().map((catalog) -> catalog.services().get(service)).orElse(null);
@@ -171,15 +171,15 @@
 	}
 
 	/**
-	 * Returns the pieces that are not done.
-	 * @return the number of pieces that wait or are in a call
+	 * Returns the work items that are not done.
+	 * @return the number of work items that wait or are in a call
 	 */
 	public int pendingCount() {
 		return this.queues.values().stream().mapToInt((queue) -> queue.entries.size()).sum();
 	}
 
 	/**
-	 * Returns the endpoints that work, of the services with pieces at this VM.
+	 * Returns the endpoints that work, of the services with work items at this VM.
 	 * @return the number of endpoints of usual speed, by service
 	 */
 	public Map<String, Double> availableEndpoints() {
@@ -217,7 +217,7 @@
 	}
 
 	/**
-	 * The pieces and calls of one service.
+	 * The work items and calls of one service.
 	 */
 	private final class ServiceQueue {
 
@@ -235,7 +235,7 @@
 		}
 
 		private void scheduleDispatch() {
-			// Pieces that arrive in one turn of the event loop share a call.
+			// Work items that arrive in one turn of the event loop share a call.
 			if (!this.dispatchScheduled) {
 				this.dispatchScheduled = true;
 				StageCallDispatcher.this.loop.execute(this::dispatch);
--- a/entry/src/main/java/org/fulmargap/entry/stage/StageClient.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageClient.java
@@ -14,10 +14,10 @@
 import org.fulmargap.entry.peer.PeerNetwork;
 
 /**
- * Hands pieces to the entry VM that is in charge of their service: the VM with the
- * highest hash among those that this VM hears. When that VM is lost its pieces go to the
- * next one; two VMs that both believe to be in charge only form smaller calls. Confined
- * to the event loop.
+ * Hands work items to the entry VM that is in charge of their service: the VM with the
+ * highest hash among those that this VM hears. When that VM is lost its work items go to
+ * the next one; two VMs that both believe to be in charge only form smaller calls.
+ * Confined to the event loop.
  */
 public final class StageClient {
 
@@ -52,7 +52,7 @@
 	}
 
 	/**
-	 * Returns the number for the next piece.
+	 * Returns the number for the next work item.
 	 * @return the number
 	 */
 	public long newItemId() {
@@ -61,10 +61,10 @@
 	}
 
 	/**
-	 * Has a piece done.
+	 * Has a work item done.
 	 * @param service the service of its stage
-	 * @param item the piece, with a number from {@link #newItemId}
-	 * @param outcome hears what becomes of it, unless it is withdrawn
+	 * @param item the work item, with a number from {@link #newItemId}
+	 * @param outcome hears what becomes of it, unless it is cancelled
 	 */
 	public void submit(String service, WorkItem item, Consumer<WorkItemOutcome> outcome) {
 		Submission submission = new Submission(service, item, outcome);
@@ -110,8 +110,8 @@
 	}
 
 	/**
-	 * Withdraws a piece that nobody needs any more.
-	 * @param itemId the number of the piece
+	 * Cancels a work item that nobody needs any more.
+	 * @param itemId the number of the work item
 	 */
 	public void cancel(long itemId) {
 		Submission submission = this.submissions.remove(itemId);
@@ -166,9 +166,9 @@
 	}
 
 	/**
-	 * Takes pieces of a peer.
+	 * Takes work items of a peer.
 	 * @param peer the name of the peer
-	 * @param message the pieces
+	 * @param message the work items
 	 */
 	public void receive(String peer, PeerMessage.WorkItems message) {
 		for (WorkItem item : message.items()) {
@@ -185,9 +185,9 @@
 	}
 
 	/**
-	 * Takes the withdrawal of a peer's piece.
+	 * Takes the cancellation of a peer's work item.
 	 * @param peer the name of the peer
-	 * @param message the withdrawal
+	 * @param message the cancellation
 	 */
 	public void receive(String peer, PeerMessage.Cancellation message) {
 		Runnable cancellation = this.cancellations.remove(new RemoteItem(peer, message.itemId()));
@@ -208,8 +208,8 @@
 	}
 
 	/**
-	 * Hands the pieces of a lost peer to the VM that is in charge now, and drops the
-	 * pieces that came from it.
+	 * Hands the work items of a lost peer to the VM that is in charge now, and drops the
+	 * work items that came from it.
 	 * @param peer the name of the peer
 	 */
 	public void peerLost(String peer) {
