--- a/core/src/main/java/org/fulmargap/batch/CommittedWork.java
+++ b/core/src/main/java/org/fulmargap/batch/AdmittedWork.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * The pieces that admitted requests still need of each stage service, those of stages
+ * The work items that admitted requests still need of each stage service, those of stages
  * that have not begun included: of this VM and, from their heartbeats, of its peers.
  * Confined to one thread.
  */
-public final class CommittedWork {
+public final class AdmittedWork {
 
 	/** Requests of lower rank count like those of the lowest rank that is told apart. */
 	public static final int RANKS = 4;
@@ -21,29 +21,29 @@
 	private final Map<String, Report> reports = new HashMap<>();
 
 	/**
-	 * Records pieces that were admitted.
+	 * Records work items that were admitted.
 	 * @param service the service
 	 * @param rank the rank of their request
-	 * @param pieces the number of pieces
+	 * @param items the number of work items
 	 */
-	public void add(String service, int rank, int pieces) {
+	public void add(String service, int rank, int items) {
 		int[] byRank = this.own.computeIfAbsent(service, (name) -> new int[RANKS]);
-		byRank[index(rank)] += pieces;
+		byRank[index(rank)] += items;
 	}
 
 	/**
-	 * Records pieces that are done or no longer needed.
+	 * Records work items that are done or no longer needed.
 	 * @param service the service
 	 * @param rank the rank of their request
-	 * @param pieces the number of pieces
+	 * @param items the number of work items
 	 */
-	public void remove(String service, int rank, int pieces) {
-		add(service, rank, -pieces);
+	public void remove(String service, int rank, int items) {
+		add(service, rank, -items);
 	}
 
 	/**
-	 * Returns this VM's pieces, for heartbeats.
-	 * @return the pieces by rank, by service
+	 * Returns this VM's work items, for heartbeats.
+	 * @return the work items by rank, by service
 	 */
 	public Map<String, int[]> own() {
 		Map<String, int[]> copy = new HashMap<>();
@@ -54,25 +54,25 @@
 	/**
 	 * Takes over a peer's report.
 	 * @param peer the name of the peer
-	 * @param pieces its pieces by rank, by service
+	 * @param items its work items by rank, by service
 	 * @param nowMs the present time in milliseconds
 	 */
-	public void reported(String peer, Map<String, int[]> pieces, long nowMs) {
-		this.reports.put(peer, new Report(Map.copyOf(pieces), nowMs));
+	public void recordReport(String peer, Map<String, int[]> items, long nowMs) {
+		this.reports.put(peer, new Report(Map.copyOf(items), nowMs));
 	}
 
 	/**
-	 * Returns the pieces that go before those of a new request.
+	 * Returns the work items that go before those of a new request.
 	 * @param service the service
 	 * @param rank the rank of the new request
 	 * @param nowMs the present time in milliseconds
-	 * @return the number of pieces of all VMs that are as urgent or more urgent
+	 * @return the number of work items of all VMs that are as urgent or more urgent
 	 */
-	public int before(String service, int rank, long nowMs) {
+	public int itemsAhead(String service, int rank, long nowMs) {
 		int sum = sum(this.own.get(service), rank);
 		for (Report report : this.reports.values()) {
 			if (nowMs - report.reportedAtMs() < REPORT_LIFETIME_MS) {
-				sum += sum(report.pieces().get(service), rank);
+				sum += sum(report.items().get(service), rank);
 			}
 		}
 		return sum;
@@ -90,7 +90,7 @@
 		return Math.max(0, Math.min(RANKS - 1, rank));
 	}
 
-	private record Report(Map<String, int[]> pieces, long reportedAtMs) {
+	private record Report(Map<String, int[]> items, long reportedAtMs) {
 	}
 
 }
--- a/core/src/main/java/org/fulmargap/catalog/Route.java
+++ b/core/src/main/java/org/fulmargap/catalog/Route.java
@@ -27,13 +27,13 @@
 		boolean anonymous, boolean resumable) {
 
 	/** Callers wait at least this long for an event of a stream, in milliseconds. */
-	private static final long LEAST_PATIENCE_MS = 2_000;
+	private static final long MIN_MAX_WAIT_MS = 2_000;
 
 	/** Callers wait for an event of a stream for the objective times this. */
-	private static final long PATIENCE_OBJECTIVES = 4;
+	private static final long MAX_WAIT_OBJECTIVES = 4;
 
 	/** Callers wait for an event of a stream for the longest good pause times this. */
-	private static final long PATIENCE_PAUSES = 8;
+	private static final long MAX_WAIT_PAUSES = 8;
 
 	/**
 	 * Creates a route.
@@ -50,20 +50,20 @@
 	 * Tells whether a request may be sent to another endpoint after it may have run.
 	 * @return {@code true} if it may
 	 */
-	public boolean isRepeatable() {
-		return this.kind.isRepeatable(this.resumable);
+	public boolean isRetryable() {
+		return this.kind.isRetryable(this.resumable);
 	}
 
 	/**
 	 * Returns how long a caller waits for the first event, or for the answer.
 	 * @return the time in milliseconds
 	 */
-	public long patienceMs() {
+	public long maxWaitMs() {
 		if (!this.kind.isStreaming()) {
 			return this.timeoutMs;
 		}
-		long longestMs = Math.max(this.objectiveMs * PATIENCE_OBJECTIVES, this.pauseMs * PATIENCE_PAUSES);
-		return Math.min(this.timeoutMs, Math.max(LEAST_PATIENCE_MS, longestMs));
+		long longestMs = Math.max(this.objectiveMs * MAX_WAIT_OBJECTIVES, this.pauseMs * MAX_WAIT_PAUSES);
+		return Math.min(this.timeoutMs, Math.max(MIN_MAX_WAIT_MS, longestMs));
 	}
 
 	/**
@@ -92,7 +92,7 @@
 		for (int i = 0; i < this.stages.size(); i++) {
 			indexes.add(i);
 		}
-		this.stages.forEach((stage) -> indexes.removeAll(stage.after()));
+		this.stages.forEach((stage) -> indexes.removeAll(stage.dependencies()));
 		return indexes;
 	}
 
--- a/core/src/main/java/org/fulmargap/placement/Placement.java
+++ b/core/src/main/java/org/fulmargap/placement/Placement.java
@@ -53,7 +53,7 @@
 
 	/**
 	 * Chooses an endpoint.
-	 * @param open the endpoints that may get new work
+	 * @param available the endpoints that may get new work
 	 * @param excluded the names of endpoints that this request must not use again
 	 * @param service the service
 	 * @param demand what the request needs
@@ -61,22 +61,22 @@
 	 * @param nowMs the present time in milliseconds
 	 * @return the choice, or empty if no endpoint can take the request now
 	 */
-	public Optional<Choice> choose(List<Endpoint> open, Set<String> excluded, ServiceSpec service, Demand demand,
+	public Optional<Choice> choose(List<Endpoint> available, Set<String> excluded, ServiceSpec service, Demand demand,
 			int vmCount, long nowMs) {
-		Optional<Choice> healthy = best(open, excluded, service, demand, vmCount, false, nowMs);
+		Optional<Choice> healthy = best(available, excluded, service, demand, vmCount, false, nowMs);
 		// When all are suspended, one of them is better than a certain refusal.
-		return (healthy.isPresent()) ? healthy : best(open, excluded, service, demand, vmCount, true, nowMs);
+		return (healthy.isPresent()) ? healthy : best(available, excluded, service, demand, vmCount, true, nowMs);
 	}
 
-	private Optional<Choice> best(List<Endpoint> open, Set<String> excluded, ServiceSpec service, Demand demand,
+	private Optional<Choice> best(List<Endpoint> available, Set<String> excluded, ServiceSpec service, Demand demand,
 			int vmCount, boolean suspended, long nowMs) {
 		Endpoint best = null;
 		double bestMs = Double.MAX_VALUE;
 		double coldShare = service.coldPerSecond() / Math.max(1, vmCount);
 		int candidates = 0;
-		for (Endpoint endpoint : open) {
+		for (Endpoint endpoint : available) {
 			boolean usable = !excluded.contains(endpoint.record().id()) && (suspended || !endpoint.isSuspended(nowMs))
-					&& endpoint.hasColdAllowance(coldShare, nowMs);
+					&& endpoint.isWithinColdStartLimit(coldShare, nowMs);
 			if (!usable) {
 				continue;
 			}
@@ -91,14 +91,14 @@
 			return Optional.empty();
 		}
 		// Leaves the counter of the cold allowance at the chosen endpoint.
-		best.hasColdAllowance(coldShare, nowMs);
+		best.isWithinColdStartLimit(coldShare, nowMs);
 		return Optional.of(new Choice(best, bestMs, candidates, best.cachedTokens(demand.prompt())));
 	}
 
 	private double costMs(Endpoint endpoint, ServiceSpec service, Demand demand, long nowMs) {
 		double workMs = (service.engine() != null) ? engineMs(endpoint, demand.prompt(), nowMs)
 				: (1 + endpoint.inFlight(nowMs)) * PLAIN_MS_PER_REQUEST;
-		double costMs = workMs * endpoint.slowness() + endpoint.failureShare(nowMs) * FAILURE_MS;
+		double costMs = workMs * endpoint.slowdownFactor() + endpoint.failureShare(nowMs) * FAILURE_MS;
 		if (!endpoint.record().failureDomain().equals(this.ownDomain)) {
 			costMs += REMOTE_DOMAIN_MS;
 		}
--- a/core/src/test/java/org/fulmargap/batch/PipelineLoad.java
+++ b/core/src/test/java/org/fulmargap/batch/PipelineLoad.java
@@ -19,7 +19,7 @@
  */
 final class PipelineLoad {
 
-	private static final long PATIENCE_MS = 6_000;
+	private static final long MAX_WAIT_MS = 6_000;
 
 	private static final long ENGINE_MS = 100;
 
@@ -44,7 +44,7 @@
 
 	private final long objectiveMs;
 
-	private final List<CommittedWork> vms = new ArrayList<>();
+	private final List<AdmittedWork> vms = new ArrayList<>();
 
 	private final boolean sparing;
 
@@ -62,22 +62,22 @@
 
 	private int inTime;
 
-	private long pieces;
+	private long items;
 
-	private long remotePieces;
+	private long remoteItems;
 
 	private PipelineLoad(boolean sparing, long heartbeatMs, long playMs, long objectiveMs) {
 		this.sparing = sparing;
 		this.objectiveMs = objectiveMs;
 		this.heartbeatMs = heartbeatMs;
 		for (int i = 0; i < VMS; i++) {
-			this.vms.add(new CommittedWork());
+			this.vms.add(new AdmittedWork());
 		}
 		this.playMs = playMs;
 	}
 
 	/**
-	 * Prepares requests of three stages: one piece of {@code store-portal}, six of
+	 * Prepares requests of three stages: one work item of {@code store-portal}, six of
 	 * {@code chain-sync} and ten of {@code legacy-bridge}.
 	 * @param sparing whether inputs are given up once they are read, not when their
 	 * reader is done
@@ -95,7 +95,7 @@
 	}
 
 	/**
-	 * Prepares requests of one stage: two pieces of {@code store-portal} with large
+	 * Prepares requests of one stage: two work items of {@code store-portal} with large
 	 * results.
 	 * @param heartbeatMs how often the entry VMs tell each other what they admitted, in
 	 * milliseconds
@@ -108,8 +108,8 @@
 		return load;
 	}
 
-	private void add(String name, StageCapacity capacity, int endpoints, int piecesPerRequest, long resultBytes) {
-		this.stages.add(new Stage(name, capacity, endpoints, piecesPerRequest, resultBytes));
+	private void add(String name, StageCapacity capacity, int endpoints, int itemsPerRequest, long resultBytes) {
+		this.stages.add(new Stage(name, capacity, endpoints, itemsPerRequest, resultBytes));
 	}
 
 	/**
@@ -140,7 +140,7 @@
 	}
 
 	double remoteShare() {
-		return this.remotePieces / (double) this.pieces;
+		return this.remoteItems / (double) this.items;
 	}
 
 	private void after(double delayMs, Runnable action) {
@@ -162,9 +162,9 @@
 	}
 
 	private void heartbeat(int vm) {
-		for (CommittedWork other : this.vms) {
+		for (AdmittedWork other : this.vms) {
 			if (other != this.vms.get(vm)) {
-				other.reported("vm" + vm, this.vms.get(vm).own(), (long) this.nowMs);
+				other.recordReport("vm" + vm, this.vms.get(vm).own(), (long) this.nowMs);
 			}
 		}
 		if (this.nowMs < this.playMs) {
@@ -184,65 +184,65 @@
 
 		private final StageCapacity capacity;
 
-		private final BatchFormer former;
+		private final BatchScheduler scheduler;
 
 		private final List<Endpoint> endpoints = new ArrayList<>();
 
-		private final int piecesPerRequest;
+		private final int itemsPerRequest;
 
 		private final long resultBytes;
 
 		private final Map<String, Request> requests = new HashMap<>();
 
-		private Stage(String name, StageCapacity capacity, int endpointCount, int piecesPerRequest, long resultBytes) {
+		private Stage(String name, StageCapacity capacity, int endpointCount, int itemsPerRequest, long resultBytes) {
 			this.name = name;
 			this.capacity = capacity;
-			this.former = new BatchFormer(capacity);
-			this.piecesPerRequest = piecesPerRequest;
+			this.scheduler = new BatchScheduler(capacity);
+			this.itemsPerRequest = itemsPerRequest;
 			this.resultBytes = resultBytes;
 			for (int i = 0; i < endpointCount; i++) {
 				this.endpoints.add(Endpoints.ready(name + i, DOMAINS[i]));
 			}
 		}
 
-		private void pump() {
+		private void dispatch() {
 			long now = (long) PipelineLoad.this.nowMs;
-			for (Piece expired : this.former.expire(this.endpoints.size(), now)) {
+			for (WorkItem expired : this.scheduler.expire(this.endpoints.size(), now)) {
 				this.requests.get(expired.attemptId()).failed = true;
 			}
-			var call = this.former.next(this.endpoints, now);
+			var call = this.scheduler.next(this.endpoints, now);
 			while (call.isPresent()) {
 				start(call.get());
-				call = this.former.next(this.endpoints, now);
+				call = this.scheduler.next(this.endpoints, now);
 			}
-			this.former.reclaim(now).forEach(this::free);
+			this.scheduler.evict(now).forEach(this::free);
 		}
 
 		private void start(StageCall call) {
-			after(READ_INPUTS_MS, () -> call.pieces().forEach((piece) -> request(piece).inputsRead(this)));
+			after(READ_INPUTS_MS, () -> call.items().forEach((item) -> request(item).inputsRead(this)));
 			after(call.expectedMs(), () -> end(call));
-			PipelineLoad.this.pieces += call.pieces().size();
-			PipelineLoad.this.remotePieces += call.pieces().size() - this.former.nearCount(call);
+			PipelineLoad.this.items += call.items().size();
+			PipelineLoad.this.remoteItems += call.items().size() - this.scheduler.localCount(call);
 		}
 
-		private Request request(Piece piece) {
-			return this.requests.get(piece.attemptId());
+		private Request request(WorkItem item) {
+			return this.requests.get(item.attemptId());
 		}
 
 		private void end(StageCall call) {
-			this.former.ended(call);
-			for (Piece piece : call.pieces()) {
-				String handle = call.endpoint() + "/" + this.name + piece.ticket();
-				this.former.hold(call.endpoint(), handle, this.resultBytes, (long) PipelineLoad.this.nowMs);
-				request(piece).done(this, handle, call.endpoint().record().failureDomain());
+			this.scheduler.ended(call);
+			for (WorkItem item : call.items()) {
+				String handle = call.endpoint() + "/" + this.name + item.itemId();
+				this.scheduler.recordResult(call.endpoint(), handle, this.resultBytes, (long) PipelineLoad.this.nowMs);
+				request(item).done(this, handle, call.endpoint().record().failureDomain());
 			}
-			pump();
+			dispatch();
 		}
 
 		private void free(String handle) {
 			after(FREE_MS, () -> {
-				this.former.release(handle.substring(0, handle.indexOf('/')), handle);
-				pump();
+				this.scheduler.release(handle.substring(0, handle.indexOf('/')), handle);
+				dispatch();
 			});
 		}
 
@@ -269,9 +269,9 @@
 
 		private boolean failed;
 
-		private final CommittedWork vm;
+		private final AdmittedWork vm;
 
-		private Request(CommittedWork vm) {
+		private Request(AdmittedWork vm) {
 			this.vm = vm;
 		}
 
@@ -281,15 +281,15 @@
 			for (int i = 0; i < PipelineLoad.this.stages.size(); i++) {
 				Stage stage = PipelineLoad.this.stages.get(i);
 				loads.add(new PipelineEstimate.StageLoad(stage.capacity, stage.endpoints.size(),
-						this.vm.before(stage.name, 0, (long) PipelineLoad.this.nowMs), i + 1));
+						this.vm.itemsAhead(stage.name, 0, (long) PipelineLoad.this.nowMs), i + 1));
 			}
-			PipelineAdmission.Expected expected = new PipelineAdmission.Expected(PipelineEstimate.stagesMs(loads),
-					PipelineEstimate.unloadedMs(loads), 0);
-			if (!PipelineAdmission.decide(expected, PipelineLoad.this.objectiveMs, PATIENCE_MS).admitted()) {
+			PipelineAdmission.ExpectedTimes expected = new PipelineAdmission.ExpectedTimes(
+					PipelineEstimate.stagesMs(loads), PipelineEstimate.unloadedMs(loads), 0);
+			if (!PipelineAdmission.decide(expected, PipelineLoad.this.objectiveMs, MAX_WAIT_MS).admitted()) {
 				PipelineLoad.this.refused++;
 				return;
 			}
-			PipelineLoad.this.stages.forEach((stage) -> this.vm.add(stage.name, 0, stage.piecesPerRequest));
+			PipelineLoad.this.stages.forEach((stage) -> this.vm.add(stage.name, 0, stage.itemsPerRequest));
 			nextStage();
 		}
 
@@ -306,19 +306,19 @@
 			stage.requests.put(this.id, this);
 			long behindMs = ENGINE_MS + (PipelineLoad.this.stages.size() - 1 - this.stageIndex) * STAGE_MS;
 			long dueAtMs = (long) this.arrivedAtMs + PipelineLoad.this.objectiveMs - behindMs;
-			for (int i = 0; i < stage.piecesPerRequest; i++) {
+			for (int i = 0; i < stage.itemsPerRequest; i++) {
 				PipelineLoad.this.numbers++;
-				stage.former.add(new Piece(PipelineLoad.this.numbers, this.id, this.stageIndex, i, "", this.inputs,
-						(this.stageIndex == 2) ? this.domain : "", 0, dueAtMs,
-						(long) this.arrivedAtMs + PATIENCE_MS - behindMs, stage.resultBytes));
+				stage.scheduler.add(new WorkItem(PipelineLoad.this.numbers, this.id, this.stageIndex, i, "",
+						this.inputs, (this.stageIndex == 2) ? this.domain : "", 0, dueAtMs,
+						(long) this.arrivedAtMs + MAX_WAIT_MS - behindMs, stage.resultBytes));
 			}
-			after(0, stage::pump);
+			after(0, stage::dispatch);
 		}
 
 		private void inputsRead(Stage reader) {
 			this.readers++;
-			if (PipelineLoad.this.sparing && this.readers == reader.piecesPerRequest && this.stageIndex > 0) {
-				this.inputs.forEach(PipelineLoad.this.stages.get(this.stageIndex - 1).former::spare);
+			if (PipelineLoad.this.sparing && this.readers == reader.itemsPerRequest && this.stageIndex > 0) {
+				this.inputs.forEach(PipelineLoad.this.stages.get(this.stageIndex - 1).scheduler::markEvictable);
 			}
 		}
 
@@ -326,7 +326,7 @@
 			this.vm.remove(stage.name, 0, 1);
 			this.results.add(handle);
 			this.domain = failureDomain;
-			if (this.results.size() == stage.piecesPerRequest) {
+			if (this.results.size() == stage.itemsPerRequest) {
 				if (this.stageIndex > 0) {
 					this.inputs.forEach(PipelineLoad.this.stages.get(this.stageIndex - 1)::free);
 				}
--- a/core/src/test/java/org/fulmargap/batch/StageLoadTests.java
+++ b/core/src/test/java/org/fulmargap/batch/StageLoadTests.java
@@ -17,8 +17,8 @@
 
 /**
  * Plays the load of a stage service from the users' sheets in virtual time and checks
- * what callers get: {@code chain-sync} with four endpoints, 17 pieces a call, requests of
- * six pieces each.
+ * what callers get: {@code chain-sync} with four endpoints, 17 work items a call,
+ * requests of six work items each.
  */
 class StageLoadTests {
 
@@ -26,7 +26,7 @@
 
 	private static final int ENDPOINTS = 4;
 
-	private static final int PIECES = 6;
+	private static final int WORK_ITEMS = 6;
 
 	private static final long PLAY_MS = 30_000;
 
@@ -58,13 +58,13 @@
 
 	@Test
 	void anOverloadWithoutUrgentRequestsStillServesItsShareInTime() {
-		// 183 pieces a second are the most that four endpoints can do: 30.5 requests.
+		// 183 work items a second are the most that four endpoints can do: 30.5 requests.
 		assertThat(play(40, 0, false).inTimeShare()).isGreaterThan(0.5);
 	}
 
 	private static Result play(double requestsPerSecond, double urgentShare, boolean alone) {
 		Random random = new Random(7);
-		BatchFormer former = new BatchFormer(CHAIN_SYNC);
+		BatchScheduler scheduler = new BatchScheduler(CHAIN_SYNC);
 		List<Endpoint> endpoints = new ArrayList<>();
 		for (int i = 0; i < ENDPOINTS; i++) {
 			endpoints.add(Endpoints.ready("endpoint" + i, "a"));
@@ -73,7 +73,7 @@
 		Map<String, Request> requests = new HashMap<>();
 		Result result = new Result();
 		double nextArrivalMs = 0;
-		long ticket = 0;
+		long itemId = 0;
 		double nowMs = 0;
 		while (nowMs < PLAY_MS) {
 			nowMs = (running.isEmpty()) ? nextArrivalMs : Math.min(nextArrivalMs, running.peek().endsAtMs());
@@ -82,44 +82,44 @@
 				Request request = new Request("request" + requests.size(), priority, (long) nowMs);
 				requests.put(request.id, request);
 				result.arrived(request);
-				for (int i = 0; i < PIECES; i++) {
-					ticket++;
-					former.add(new Piece(ticket, request.id, 1, i, "key", List.of(), "", priority,
+				for (int i = 0; i < WORK_ITEMS; i++) {
+					itemId++;
+					scheduler.add(new WorkItem(itemId, request.id, 1, i, "key", List.of(), "", priority,
 							(long) nowMs + DUE_MS, (long) nowMs + EXPIRES_MS, 60_000));
 				}
 				nextArrivalMs = nowMs - Math.log(1 - random.nextDouble()) * 1_000 / requestsPerSecond;
 			}
 			while (!running.isEmpty() && running.peek().endsAtMs() <= nowMs) {
 				Running done = running.poll();
-				former.ended(done.call());
-				for (Piece piece : done.call().pieces()) {
-					result.done(requests.get(piece.attemptId()), (long) nowMs);
+				scheduler.ended(done.call());
+				for (WorkItem item : done.call().items()) {
+					result.done(requests.get(item.attemptId()), (long) nowMs);
 				}
 			}
-			former.expire(ENDPOINTS, (long) nowMs);
-			start(former, endpoints, running, nowMs, alone);
+			scheduler.expire(ENDPOINTS, (long) nowMs);
+			start(scheduler, endpoints, running, nowMs, alone);
 		}
 		return result;
 	}
 
-	private static void start(BatchFormer former, List<Endpoint> endpoints, PriorityQueue<Running> running,
+	private static void start(BatchScheduler scheduler, List<Endpoint> endpoints, PriorityQueue<Running> running,
 			double nowMs, boolean alone) {
-		var call = former.next(endpoints, (long) nowMs);
+		var call = scheduler.next(endpoints, (long) nowMs);
 		while (call.isPresent()) {
 			StageCall next = call.get();
 			if (alone) {
-				next = firstRequestOnly(former, next);
+				next = firstRequestOnly(scheduler, next);
 			}
-			running.add(new Running(next, nowMs + former.expectedMs(next.pieces().size())));
-			call = former.next(endpoints, (long) nowMs);
+			running.add(new Running(next, nowMs + scheduler.expectedMs(next.items().size())));
+			call = scheduler.next(endpoints, (long) nowMs);
 		}
 	}
 
-	// The naive way: a call holds the pieces of one request.
-	private static StageCall firstRequestOnly(BatchFormer former, StageCall call) {
-		String id = call.pieces().get(0).attemptId();
-		List<Piece> own = call.pieces().stream().filter((piece) -> piece.attemptId().equals(id)).toList();
-		call.pieces().stream().filter((piece) -> !own.contains(piece)).forEach(former::add);
+	// The naive way: a call holds the work items of one request.
+	private static StageCall firstRequestOnly(BatchScheduler scheduler, StageCall call) {
+		String id = call.items().get(0).attemptId();
+		List<WorkItem> own = call.items().stream().filter((item) -> item.attemptId().equals(id)).toList();
+		call.items().stream().filter((item) -> !own.contains(item)).forEach(scheduler::add);
 		return new StageCall(call.endpoint(), own, call.expectedMs());
 	}
 
@@ -134,7 +134,7 @@
 
 		private final long arrivedAtMs;
 
-		private int left = PIECES;
+		private int left = WORK_ITEMS;
 
 		private Request(String id, int priority, long arrivedAtMs) {
 			this.id = id;
--- a/entry/src/main/java/org/fulmargap/entry/EntryVm.java
+++ b/entry/src/main/java/org/fulmargap/entry/EntryVm.java
@@ -10,8 +10,8 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
-import org.fulmargap.batch.CommittedWork;
-import org.fulmargap.batch.WorkingEndpoints;
+import org.fulmargap.batch.AdmittedWork;
+import org.fulmargap.batch.AvailableEndpoints;
 import org.fulmargap.entry.caller.CallerServer;
 import org.fulmargap.entry.endpoint.EndpointPool;
 import org.fulmargap.entry.peer.PeerListener;
@@ -21,12 +21,12 @@
 import org.fulmargap.entry.request.RequestRouter;
 import org.fulmargap.entry.request.RequestServices;
 import org.fulmargap.entry.request.ServiceTimes;
+import org.fulmargap.entry.stage.StageCallDispatcher;
 import org.fulmargap.entry.stage.StageClient;
-import org.fulmargap.entry.stage.StageDesk;
 import org.fulmargap.placement.Endpoint;
 import org.fulmargap.placement.PeerLoad;
 import org.fulmargap.placement.Placement;
-import org.fulmargap.placement.RetryAllowance;
+import org.fulmargap.placement.SharedRetryBudget;
 import org.fulmargap.platform.NodeSettings;
 import org.fulmargap.platform.StoreClient;
 import org.fulmargap.routing.CrashQuarantine;
@@ -40,7 +40,7 @@
 	private static final int MAX_FINGERPRINTS = 1_000;
 
 	/** Reads of one path by one account are alike, and a cut breaks several at once. */
-	private static final int STRIKES_TO_QUARANTINE = 3;
+	private static final int CRASHES_TO_QUARANTINE = 3;
 
 	private static final long NANOS_PER_MS = 1_000_000;
 
@@ -68,15 +68,15 @@
 
 	private final AtomicBoolean draining = new AtomicBoolean();
 
-	private final CrashQuarantine quarantine = new CrashQuarantine(MAX_FINGERPRINTS, STRIKES_TO_QUARANTINE);
+	private final CrashQuarantine quarantine = new CrashQuarantine(MAX_FINGERPRINTS, CRASHES_TO_QUARANTINE);
 
-	private final CommittedWork committed = new CommittedWork();
+	private final AdmittedWork admittedWork = new AdmittedWork();
 
-	private final WorkingEndpoints working = new WorkingEndpoints();
+	private final AvailableEndpoints endpointReports = new AvailableEndpoints();
 
 	private final PeerNetwork peers;
 
-	private final StageDesk desk;
+	private final StageCallDispatcher dispatcher;
 
 	private final StageClient stages;
 
@@ -98,13 +98,14 @@
 		this.metricsPort = metricsPort;
 		this.peers = new PeerNetwork(settings.vm(), System.currentTimeMillis(), this.loop, this.clockMs);
 		EndpointPool pool = new EndpointPool(this.loop, this.clockMs);
-		RetryAllowance retries = new RetryAllowance(settings.retryRatio(), settings.retrySlack(),
+		SharedRetryBudget retries = new SharedRetryBudget(settings.retryRatio(), settings.retrySlack(),
 				settings.retryWindowMs());
-		this.desk = new StageDesk(this.loop, this.clockMs, this.view, pool, retries, this.peers::vmCount, this.metrics);
-		this.stages = new StageClient(this.loop, this.desk, this.peers);
+		this.dispatcher = new StageCallDispatcher(this.loop, this.clockMs, this.view, pool, retries,
+				this.peers::vmCount, this.metrics);
+		this.stages = new StageClient(this.loop, this.dispatcher, this.peers);
 		RequestServices services = new RequestServices(this.loop, this.clockMs, this.view,
-				new Placement(settings.failureDomain()), retries, this.quarantine, pool, this.stages, this.committed,
-				this.working, this.peers, new ServiceTimes(), new CallerTimes(), this.metrics);
+				new Placement(settings.failureDomain()), retries, this.quarantine, pool, this.stages, this.admittedWork,
+				this.endpointReports, this.peers, new ServiceTimes(), new CallerTimes(), this.metrics);
 		this.router = new RequestRouter(services);
 		this.callers = new CallerServer(this.loop, this.clockMs, this.view::limits, this.router);
 		this.store = new StoreClient(settings.storeAddress());
@@ -153,7 +154,7 @@
 		boolean busy = true;
 		while (busy && this.clockMs.getAsLong() - beganAtMs < limitMs) {
 			Thread.sleep(POLL_MS);
-			busy = busyConnections() > 0 || pendingPieces() > 0;
+			busy = busyConnections() > 0 || pendingItems() > 0;
 		}
 		EventLog.state("stopped")
 			.with("vm", this.settings.vm())
@@ -162,8 +163,8 @@
 			.write();
 	}
 
-	private int pendingPieces() throws InterruptedException {
-		return this.loop.submit(this.desk::pendingCount).awaitUninterruptibly().getNow();
+	private int pendingItems() throws InterruptedException {
+		return this.loop.submit(this.dispatcher::pendingCount).awaitUninterruptibly().getNow();
 	}
 
 	private long busyConnections() throws InterruptedException {
@@ -174,50 +175,50 @@
 	public void received(String peer, PeerMessage message) {
 		long nowMs = this.clockMs.getAsLong();
 		if (message instanceof PeerMessage.Heartbeat heartbeat) {
-			reported(peer, heartbeat, nowMs);
+			recordReport(peer, heartbeat, nowMs);
 		}
 		else if (message instanceof PeerMessage.PromptSent sent) {
 			this.view.directory().find(sent.endpoint()).ifPresent((endpoint) -> promptSent(endpoint, sent));
 		}
-		else if (message instanceof PeerMessage.Pieces pieces) {
-			this.stages.receive(peer, pieces);
+		else if (message instanceof PeerMessage.WorkItems items) {
+			this.stages.receive(peer, items);
 		}
 		else if (message instanceof PeerMessage.Outcomes outcomes) {
 			this.stages.receive(outcomes);
 		}
-		else if (message instanceof PeerMessage.Withdrawal withdrawal) {
-			this.stages.receive(peer, withdrawal);
+		else if (message instanceof PeerMessage.Cancellation cancellation) {
+			this.stages.receive(peer, cancellation);
 		}
 		else if (message instanceof PeerMessage.Release release) {
 			this.stages.receive(release);
 		}
-		else if (message instanceof PeerMessage.RecordsWanted wanted) {
-			this.watch.wanted(peer, wanted);
+		else if (message instanceof PeerMessage.RecordsRequest request) {
+			this.watch.sendRecords(peer, request);
 		}
-		else if (message instanceof PeerMessage.Records records) {
+		else if (message instanceof PeerMessage.RecordsReply records) {
 			this.watch.received(records);
 		}
-		else if (message instanceof PeerMessage.Strike strike) {
-			this.quarantine.mergeStrikes(Map.of(strike.fingerprint(), List.of(strike.endpoint())), nowMs);
+		else if (message instanceof PeerMessage.CrashReport crashReport) {
+			this.quarantine.mergeStrikes(Map.of(crashReport.fingerprint(), List.of(crashReport.endpoint())), nowMs);
 			EventLog.state("strike_heard")
 				.with("peer", peer)
-				.with("endpoint", strike.endpoint())
-				.with("fingerprint", strike.fingerprint())
+				.with("endpoint", crashReport.endpoint())
+				.with("fingerprint", crashReport.fingerprint())
 				.write();
 		}
 	}
 
-	private void reported(String peer, PeerMessage.Heartbeat heartbeat, long nowMs) {
-		this.committed.reported(peer, heartbeat.committedPieces(), nowMs);
-		this.working.reported(peer, heartbeat.workingEndpoints(), nowMs);
+	private void recordReport(String peer, PeerMessage.Heartbeat heartbeat, long nowMs) {
+		this.admittedWork.recordReport(peer, heartbeat.admittedItems(), nowMs);
+		this.endpointReports.recordReport(peer, heartbeat.availableEndpoints(), nowMs);
 		this.watch.peerKnows(peer, heartbeat.nextOffsets(), nowMs);
 		for (Endpoint endpoint : this.view.directory().all()) {
-			endpoint.reported(peer, new PeerLoad(0, 0, nowMs));
+			endpoint.recordReport(peer, new PeerLoad(0, 0, nowMs));
 		}
 		for (PeerMessage.Load load : heartbeat.loads()) {
 			this.view.directory()
 				.find(load.endpoint())
-				.ifPresent((endpoint) -> endpoint.reported(peer,
+				.ifPresent((endpoint) -> endpoint.recordReport(peer,
 						new PeerLoad(load.inFlight(), load.prefillTokens(), nowMs)));
 		}
 	}
@@ -240,15 +241,15 @@
 	}
 
 	@Override
-	public Map<String, Double> workingEndpoints() {
-		Map<String, Double> own = this.desk.workingEndpoints();
-		this.working.reported(this.settings.vm(), own, this.clockMs.getAsLong());
+	public Map<String, Double> availableEndpoints() {
+		Map<String, Double> own = this.dispatcher.availableEndpoints();
+		this.endpointReports.recordReport(this.settings.vm(), own, this.clockMs.getAsLong());
 		return own;
 	}
 
 	@Override
-	public Map<String, int[]> committedPieces() {
-		return this.committed.own();
+	public Map<String, int[]> admittedItems() {
+		return this.admittedWork.own();
 	}
 
 	@Override
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerCodec.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerCodec.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 
-import org.fulmargap.batch.Piece;
-import org.fulmargap.entry.stage.PieceOutcome;
+import org.fulmargap.batch.WorkItem;
+import org.fulmargap.entry.stage.WorkItemOutcome;
 import org.fulmargap.placement.Prompt;
 import org.fulmargap.placement.PromptPart;
 import org.fulmargap.platform.KeyedRecord;
@@ -47,13 +47,13 @@
 		else if (message instanceof PeerMessage.Heartbeat heartbeat) {
 			out.packInt(Type.HEARTBEAT.ordinal())
 				.packBoolean(heartbeat.draining())
-				.packBoolean(heartbeat.hearsReceiver());
+				.packBoolean(heartbeat.receiverHeard());
 			out.packArrayHeader(heartbeat.loads().size());
 			for (PeerMessage.Load load : heartbeat.loads()) {
 				out.packString(load.endpoint()).packInt(load.inFlight()).packLong(load.prefillTokens());
 			}
-			writeCommitted(out, heartbeat.committedPieces());
-			writeWorking(out, heartbeat.workingEndpoints());
+			writeAdmitted(out, heartbeat.admittedItems());
+			writeAvailable(out, heartbeat.availableEndpoints());
 			out.packArrayHeader(heartbeat.nextOffsets().size());
 			for (long offset : heartbeat.nextOffsets()) {
 				out.packLong(offset);
@@ -63,10 +63,10 @@
 			out.packInt(Type.PROMPT_SENT.ordinal()).packString(sent.endpoint());
 			writePrompt(out, sent.prompt());
 		}
-		else if (message instanceof PeerMessage.Pieces pieces) {
-			out.packInt(Type.PIECES.ordinal()).packString(pieces.service()).packArrayHeader(pieces.pieces().size());
-			for (Piece piece : pieces.pieces()) {
-				writePiece(out, piece, nowMs);
+		else if (message instanceof PeerMessage.WorkItems items) {
+			out.packInt(Type.WORK_ITEMS.ordinal()).packString(items.service()).packArrayHeader(items.items().size());
+			for (WorkItem item : items.items()) {
+				writeWorkItem(out, item, nowMs);
 			}
 		}
 		else {
@@ -77,71 +77,73 @@
 	private static void writeShort(MessageBufferPacker out, PeerMessage message) throws IOException {
 		if (message instanceof PeerMessage.Outcomes outcomes) {
 			out.packInt(Type.OUTCOMES.ordinal()).packArrayHeader(outcomes.outcomes().size());
-			for (PieceOutcome outcome : outcomes.outcomes()) {
-				out.packLong(outcome.ticket())
+			for (WorkItemOutcome outcome : outcomes.outcomes()) {
+				out.packLong(outcome.itemId())
 					.packInt(outcome.status().ordinal())
 					.packString(outcome.handle())
 					.packString(outcome.failureDomain());
 			}
 		}
-		else if (message instanceof PeerMessage.Withdrawal withdrawal) {
-			out.packInt(Type.WITHDRAWAL.ordinal()).packLong(withdrawal.ticket());
+		else if (message instanceof PeerMessage.Cancellation cancellation) {
+			out.packInt(Type.CANCELLATION.ordinal()).packLong(cancellation.itemId());
 		}
 		else if (message instanceof PeerMessage.Release release) {
-			out.packInt(Type.RELEASE.ordinal()).packString(release.service()).packBoolean(release.spare());
+			out.packInt(Type.RELEASE.ordinal()).packString(release.service()).packBoolean(release.evictable());
 			writeTexts(out, release.handles());
 		}
-		else if (message instanceof PeerMessage.RecordsWanted wanted) {
-			out.packInt(Type.RECORDS_WANTED.ordinal()).packInt(wanted.topic().ordinal()).packLong(wanted.from());
+		else if (message instanceof PeerMessage.RecordsRequest request) {
+			out.packInt(Type.RECORDS_REQUEST.ordinal()).packInt(request.topic().ordinal()).packLong(request.from());
 		}
-		else if (message instanceof PeerMessage.Records records) {
-			out.packInt(Type.RECORDS.ordinal());
+		else if (message instanceof PeerMessage.RecordsReply records) {
+			out.packInt(Type.RECORDS_REPLY.ordinal());
 			writeRecords(out, records);
 		}
-		else if (message instanceof PeerMessage.Strike strike) {
-			out.packInt(Type.STRIKE.ordinal()).packString(strike.fingerprint()).packString(strike.endpoint());
+		else if (message instanceof PeerMessage.CrashReport crashReport) {
+			out.packInt(Type.CRASH_REPORT.ordinal())
+				.packString(crashReport.fingerprint())
+				.packString(crashReport.endpoint());
 		}
 		else {
 			throw new IllegalStateException("no encoding for " + message.getClass());
 		}
 	}
 
-	private static void writeWorking(MessageBufferPacker out, Map<String, Double> working) throws IOException {
-		out.packMapHeader(working.size());
-		for (Map.Entry<String, Double> service : working.entrySet()) {
+	private static void writeAvailable(MessageBufferPacker out, Map<String, Double> available) throws IOException {
+		out.packMapHeader(available.size());
+		for (Map.Entry<String, Double> service : available.entrySet()) {
 			out.packString(service.getKey()).packDouble(service.getValue());
 		}
 	}
 
-	private static Map<String, Double> readWorking(MessageUnpacker in) throws IOException {
-		Map<String, Double> working = new HashMap<>();
+	private static Map<String, Double> readAvailable(MessageUnpacker in) throws IOException {
+		Map<String, Double> available = new HashMap<>();
 		for (int i = readMapSize(in); i > 0; i--) {
-			working.put(in.unpackString(), in.unpackDouble());
+			available.put(in.unpackString(), in.unpackDouble());
 		}
-		return working;
+		return available;
 	}
 
-	private static void writeCommitted(MessageBufferPacker out, Map<String, int[]> committed) throws IOException {
-		out.packMapHeader(committed.size());
-		for (Map.Entry<String, int[]> service : committed.entrySet()) {
+	private static void writeAdmitted(MessageBufferPacker out, Map<String, int[]> admitted) throws IOException {
+		out.packMapHeader(admitted.size());
+		for (Map.Entry<String, int[]> service : admitted.entrySet()) {
 			out.packString(service.getKey()).packArrayHeader(service.getValue().length);
-			for (int pieces : service.getValue()) {
-				out.packInt(pieces);
+			for (int items : service.getValue()) {
+				out.packInt(items);
 			}
 		}
 	}
 
-	private static Map<String, int[]> readCommitted(MessageUnpacker in) throws IOException {
-		Map<String, int[]> committed = new HashMap<>();
+	private static Map<String, int[]> readAdmitted(MessageUnpacker in) throws IOException {
+		Map<String, int[]> admitted = new HashMap<>();
 		for (int i = readMapSize(in); i > 0; i--) {
 			String service = in.unpackString();
 			int[] byRank = new int[readSize(in)];
 			for (int rank = 0; rank < byRank.length; rank++) {
 				byRank[rank] = in.unpackInt();
 			}
-			committed.put(service, byRank);
+			admitted.put(service, byRank);
 		}
-		return committed;
+		return admitted;
 	}
 
 	private static List<Long> readOffsets(MessageUnpacker in) throws IOException {
@@ -152,7 +154,7 @@
 		return offsets;
 	}
 
-	private static void writeRecords(MessageBufferPacker out, PeerMessage.Records message) throws IOException {
+	private static void writeRecords(MessageBufferPacker out, PeerMessage.RecordsReply message) throws IOException {
 		StorePage page = message.page();
 		out.packInt(message.topic().ordinal()).packLong(page.nextOffset()).packBoolean(page.isComplete());
 		out.packArrayHeader(page.records().size());
@@ -162,7 +164,7 @@
 		}
 	}
 
-	private static PeerMessage.Records readRecords(MessageUnpacker in) throws IOException {
+	private static PeerMessage.RecordsReply readRecords(MessageUnpacker in) throws IOException {
 		StoreTopic topic = readTopic(in);
 		long nextOffset = in.unpackLong();
 		boolean complete = in.unpackBoolean();
@@ -172,7 +174,7 @@
 			long offset = in.unpackLong();
 			records.add(new KeyedRecord(key, in.readPayload(in.unpackBinaryHeader()), offset));
 		}
-		return new PeerMessage.Records(topic, new StorePage(records, nextOffset, complete));
+		return new PeerMessage.RecordsReply(topic, new StorePage(records, nextOffset, complete));
 	}
 
 	private static StoreTopic readTopic(MessageUnpacker in) throws IOException {
@@ -190,15 +192,15 @@
 		}
 	}
 
-	private static void writePiece(MessageBufferPacker out, Piece piece, long nowMs) throws IOException {
-		out.packLong(piece.ticket())
-			.packString(piece.attemptId())
-			.packInt(piece.stage())
-			.packInt(piece.segment())
-			.packString(piece.chunkKey());
-		writeTexts(out, piece.inputs());
-		out.packString(piece.inputDomain()).packInt(piece.priority());
-		out.packLong(piece.dueAtMs() - nowMs).packLong(piece.expiresAtMs() - nowMs).packLong(piece.resultBytes());
+	private static void writeWorkItem(MessageBufferPacker out, WorkItem item, long nowMs) throws IOException {
+		out.packLong(item.itemId())
+			.packString(item.attemptId())
+			.packInt(item.stage())
+			.packInt(item.index())
+			.packString(item.inputKey());
+		writeTexts(out, item.inputs());
+		out.packString(item.inputDomain()).packInt(item.priority());
+		out.packLong(item.dueAtMs() - nowMs).packLong(item.expiresAtMs() - nowMs).packLong(item.resultBytes());
 	}
 
 	private static void writeTexts(MessageBufferPacker out, List<String> texts) throws IOException {
@@ -230,12 +232,12 @@
 
 	private static PeerMessage.Heartbeat readHeartbeat(MessageUnpacker in) throws IOException {
 		boolean draining = in.unpackBoolean();
-		boolean hearsReceiver = in.unpackBoolean();
+		boolean receiverHeard = in.unpackBoolean();
 		List<PeerMessage.Load> loads = new ArrayList<>();
 		for (int i = readSize(in); i > 0; i--) {
 			loads.add(new PeerMessage.Load(in.unpackString(), in.unpackInt(), in.unpackLong()));
 		}
-		return new PeerMessage.Heartbeat(draining, hearsReceiver, loads, readCommitted(in), readWorking(in),
+		return new PeerMessage.Heartbeat(draining, receiverHeard, loads, readAdmitted(in), readAvailable(in),
 				readOffsets(in));
 	}
 
@@ -249,27 +251,27 @@
 		return new Prompt(promptTokens, maxOutputTokens, parts);
 	}
 
-	private static PeerMessage.Pieces readPieces(MessageUnpacker in, long nowMs) throws IOException {
+	private static PeerMessage.WorkItems readWorkItems(MessageUnpacker in, long nowMs) throws IOException {
 		String service = in.unpackString();
-		List<Piece> pieces = new ArrayList<>();
+		List<WorkItem> items = new ArrayList<>();
 		for (int i = readSize(in); i > 0; i--) {
-			pieces.add(new Piece(in.unpackLong(), in.unpackString(), in.unpackInt(), in.unpackInt(), in.unpackString(),
-					readTexts(in), in.unpackString(), in.unpackInt(), nowMs + in.unpackLong(), nowMs + in.unpackLong(),
-					in.unpackLong()));
+			items.add(new WorkItem(in.unpackLong(), in.unpackString(), in.unpackInt(), in.unpackInt(),
+					in.unpackString(), readTexts(in), in.unpackString(), in.unpackInt(), nowMs + in.unpackLong(),
+					nowMs + in.unpackLong(), in.unpackLong()));
 		}
-		return new PeerMessage.Pieces(service, pieces);
+		return new PeerMessage.WorkItems(service, items);
 	}
 
 	private static PeerMessage.Outcomes readOutcomes(MessageUnpacker in) throws IOException {
-		List<PieceOutcome> outcomes = new ArrayList<>();
+		List<WorkItemOutcome> outcomes = new ArrayList<>();
 		for (int i = readSize(in); i > 0; i--) {
-			outcomes.add(new PieceOutcome(in.unpackLong(), readStatus(in), in.unpackString(), in.unpackString()));
+			outcomes.add(new WorkItemOutcome(in.unpackLong(), readStatus(in), in.unpackString(), in.unpackString()));
 		}
 		return new PeerMessage.Outcomes(outcomes);
 	}
 
-	private static PieceOutcome.Status readStatus(MessageUnpacker in) throws IOException {
-		PieceOutcome.Status[] known = PieceOutcome.Status.values();
+	private static WorkItemOutcome.Status readStatus(MessageUnpacker in) throws IOException {
+		WorkItemOutcome.Status[] known = WorkItemOutcome.Status.values();
 		int ordinal = in.unpackInt();
 		if (ordinal < 0 || ordinal >= known.length) {
 			throw new IOException("a status of number " + ordinal);
@@ -327,10 +329,10 @@
 			}
 		},
 
-		PIECES {
+		WORK_ITEMS {
 			@Override
 			PeerMessage read(MessageUnpacker in, long nowMs) throws IOException {
-				return readPieces(in, nowMs);
+				return readWorkItems(in, nowMs);
 			}
 		},
 
@@ -341,10 +343,10 @@
 			}
 		},
 
-		WITHDRAWAL {
+		CANCELLATION {
 			@Override
 			PeerMessage read(MessageUnpacker in, long nowMs) throws IOException {
-				return new PeerMessage.Withdrawal(in.unpackLong());
+				return new PeerMessage.Cancellation(in.unpackLong());
 			}
 		},
 
@@ -352,26 +354,26 @@
 			@Override
 			PeerMessage read(MessageUnpacker in, long nowMs) throws IOException {
 				String service = in.unpackString();
-				boolean spare = in.unpackBoolean();
-				return new PeerMessage.Release(service, readTexts(in), spare);
+				boolean evictable = in.unpackBoolean();
+				return new PeerMessage.Release(service, readTexts(in), evictable);
 			}
 		},
 
-		STRIKE {
+		CRASH_REPORT {
 			@Override
 			PeerMessage read(MessageUnpacker in, long nowMs) throws IOException {
-				return new PeerMessage.Strike(in.unpackString(), in.unpackString());
+				return new PeerMessage.CrashReport(in.unpackString(), in.unpackString());
 			}
 		},
 
-		RECORDS_WANTED {
+		RECORDS_REQUEST {
 			@Override
 			PeerMessage read(MessageUnpacker in, long nowMs) throws IOException {
-				return new PeerMessage.RecordsWanted(readTopic(in), in.unpackLong());
+				return new PeerMessage.RecordsRequest(readTopic(in), in.unpackLong());
 			}
 		},
 
-		RECORDS {
+		RECORDS_REPLY {
 			@Override
 			PeerMessage read(MessageUnpacker in, long nowMs) throws IOException {
 				return readRecords(in);
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerListener.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerListener.java
@@ -28,17 +28,17 @@
 	List<PeerMessage.Load> loads();
 
 	/**
-	 * Returns the pieces that this VM's requests still need, for heartbeats.
-	 * @return the pieces by rank, by service
+	 * Returns the work items that this VM's requests still need, for heartbeats.
+	 * @return the work items by rank, by service
 	 */
-	Map<String, int[]> committedPieces();
+	Map<String, int[]> admittedItems();
 
 	/**
 	 * Returns the endpoints that work, of the services that this VM makes calls to, for
 	 * heartbeats.
 	 * @return the number of endpoints of usual speed, by service
 	 */
-	Map<String, Double> workingEndpoints();
+	Map<String, Double> availableEndpoints();
 
 	/**
 	 * Returns how far this VM knows each topic of the store, for heartbeats.
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerMessage.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerMessage.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Map;
 
-import org.fulmargap.batch.Piece;
-import org.fulmargap.entry.stage.PieceOutcome;
+import org.fulmargap.batch.WorkItem;
+import org.fulmargap.entry.stage.WorkItemOutcome;
 import org.fulmargap.placement.Prompt;
 import org.fulmargap.platform.StorePage;
 import org.fulmargap.platform.StoreTopic;
@@ -28,17 +28,18 @@
 	 * The sender is alive and has requests in flight.
 	 *
 	 * @param draining whether the sender is about to leave
-	 * @param hearsReceiver whether the sender hears the receiver; a connection can go
+	 * @param receiverHeard whether the sender hears the receiver; a connection can go
 	 * silent without being closed, which only the other end notices
 	 * @param loads what it has in flight, only for endpoints with load
-	 * @param committedPieces the pieces that its requests still need, by rank, by service
-	 * @param workingEndpoints the endpoints that work, of the services that the sender
+	 * @param admittedItems the work items that its requests still need, by rank, by
+	 * service
+	 * @param availableEndpoints the endpoints that work, of the services that the sender
 	 * makes calls to, in units of endpoints of usual speed
 	 * @param nextOffsets how far it knows each topic of the store, in the order of the
 	 * topics
 	 */
-	record Heartbeat(boolean draining, boolean hearsReceiver, List<Load> loads, Map<String, int[]> committedPieces,
-			Map<String, Double> workingEndpoints, List<Long> nextOffsets) implements PeerMessage {
+	record Heartbeat(boolean draining, boolean receiverHeard, List<Load> loads, Map<String, int[]> admittedItems,
+			Map<String, Double> availableEndpoints, List<Long> nextOffsets) implements PeerMessage {
 	}
 
 	/**
@@ -57,7 +58,7 @@
 	 * @param topic the topic
 	 * @param from the first offset; a negative one for the newest record of each key
 	 */
-	record RecordsWanted(StoreTopic topic, long from) implements PeerMessage {
+	record RecordsRequest(StoreTopic topic, long from) implements PeerMessage {
 	}
 
 	/**
@@ -66,7 +67,7 @@
 	 * @param topic the topic
 	 * @param page the records
 	 */
-	record Records(StoreTopic topic, StorePage page) implements PeerMessage {
+	record RecordsReply(StoreTopic topic, StorePage page) implements PeerMessage {
 	}
 
 	/**
@@ -79,28 +80,28 @@
 	}
 
 	/**
-	 * Pieces for the VM that is in charge of a service.
+	 * Work items for the VM that makes the calls of a service.
 	 *
 	 * @param service the service
-	 * @param pieces the pieces, with times in the receiver's clock
+	 * @param items the work items, with times in the receiver's clock
 	 */
-	record Pieces(String service, List<Piece> pieces) implements PeerMessage {
+	record WorkItems(String service, List<WorkItem> items) implements PeerMessage {
 	}
 
 	/**
-	 * What came of pieces.
+	 * What came of work items.
 	 *
 	 * @param outcomes the outcomes
 	 */
-	record Outcomes(List<PieceOutcome> outcomes) implements PeerMessage {
+	record Outcomes(List<WorkItemOutcome> outcomes) implements PeerMessage {
 	}
 
 	/**
-	 * A piece is no longer needed.
+	 * A work item is no longer needed.
 	 *
-	 * @param ticket the number of the piece
+	 * @param itemId the number of the work item
 	 */
-	record Withdrawal(long ticket) implements PeerMessage {
+	record Cancellation(long itemId) implements PeerMessage {
 	}
 
 	/**
@@ -108,9 +109,9 @@
 	 *
 	 * @param service the service that made them
 	 * @param handles the names of the results
-	 * @param spare whether they should be kept as long as there is room for them
+	 * @param evictable whether they should be kept as long as there is room for them
 	 */
-	record Release(String service, List<String> handles, boolean spare) implements PeerMessage {
+	record Release(String service, List<String> handles, boolean evictable) implements PeerMessage {
 	}
 
 	/**
@@ -119,7 +120,7 @@
 	 * @param fingerprint the fingerprint of the request
 	 * @param endpoint the name of the endpoint
 	 */
-	record Strike(String fingerprint, String endpoint) implements PeerMessage {
+	record CrashReport(String fingerprint, String endpoint) implements PeerMessage {
 	}
 
 }
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerNetwork.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerNetwork.java
@@ -120,7 +120,7 @@
 	 * @param vm the name of the VM
 	 * @param address its address as {@code IP:port}
 	 */
-	public void known(String vm, String address) {
+	public void updatePeer(String vm, String address) {
 		if (vm.equals(this.ownName)) {
 			return;
 		}
@@ -137,7 +137,7 @@
 	 * Forgets a VM that has left.
 	 * @param vm the name of the VM
 	 */
-	public void forgotten(String vm) {
+	public void removePeer(String vm) {
 		Peer peer = this.peers.remove(vm);
 		if (peer != null) {
 			peer.removed = true;
@@ -178,11 +178,11 @@
 	}
 
 	/**
-	 * Returns the VM that is in charge of a service, in the view of this VM.
+	 * Returns the VM that makes the calls of a service, in the view of this VM.
 	 * @param service the name of the service
 	 * @return the name of the VM
 	 */
-	public String inCharge(String service) {
+	public String coordinatorOf(String service) {
 		String best = this.ownName;
 		int bestRank = (this.draining) ? Integer.MIN_VALUE : rank(service, this.ownName);
 		for (Peer peer : this.peers.values()) {
@@ -267,16 +267,16 @@
 	/**
 	 * What the heartbeats to all peers have in common.
 	 */
-	private record HeartbeatContent(List<PeerMessage.Load> loads, Map<String, int[]> committedPieces,
-			Map<String, Double> workingEndpoints, List<Long> nextOffsets) {
+	private record HeartbeatContent(List<PeerMessage.Load> loads, Map<String, int[]> admittedItems,
+			Map<String, Double> availableEndpoints, List<Long> nextOffsets) {
 
 		private static HeartbeatContent of(PeerListener own) {
-			return new HeartbeatContent(own.loads(), own.committedPieces(), own.workingEndpoints(), own.nextOffsets());
+			return new HeartbeatContent(own.loads(), own.admittedItems(), own.availableEndpoints(), own.nextOffsets());
 		}
 
-		private PeerMessage.Heartbeat heartbeat(boolean draining, boolean hearsReceiver) {
-			return new PeerMessage.Heartbeat(draining, hearsReceiver, this.loads, this.committedPieces,
-					this.workingEndpoints, this.nextOffsets);
+		private PeerMessage.Heartbeat heartbeat(boolean draining, boolean receiverHeard) {
+			return new PeerMessage.Heartbeat(draining, receiverHeard, this.loads, this.admittedItems,
+					this.availableEndpoints, this.nextOffsets);
 		}
 
 	}
@@ -416,7 +416,7 @@
 				this.draining = true;
 				EventLog.state("peer_draining").with("peer", this.name).write();
 			}
-			boolean unheard = !heartbeat.hearsReceiver() && isConnected() && nowMs - this.connectedAtMs > LOST_AFTER_MS;
+			boolean unheard = !heartbeat.receiverHeard() && isConnected() && nowMs - this.connectedAtMs > LOST_AFTER_MS;
 			if (unheard) {
 				lose("deaf");
 				disconnect();
--- a/entry/src/main/java/org/fulmargap/entry/request/RequestFlow.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/RequestFlow.java
@@ -29,7 +29,7 @@
 import org.fulmargap.placement.Endpoint;
 import org.fulmargap.placement.Placement;
 import org.fulmargap.placement.Prompt;
-import org.fulmargap.placement.RepeatRule;
+import org.fulmargap.placement.RetryRule;
 import org.fulmargap.platform.CallerRequest;
 import org.fulmargap.platform.EndpointAnswer;
 import org.fulmargap.platform.EndpointHeaders;
@@ -48,13 +48,13 @@
 	/**
 	 * A repeatable call without sign of life is repeated after its usual time times this.
 	 */
-	private static final double PATIENCE_FACTOR = 4;
+	private static final double RESPONSE_TIMEOUT_FACTOR = 4;
 
 	/** The least time before a repeatable call is repeated, in milliseconds. */
-	private static final long LEAST_PATIENCE_MS = 120;
+	private static final long MIN_RESPONSE_TIMEOUT_MS = 120;
 
 	/** How long a resumable stream may pause before it goes on elsewhere, in ms. */
-	private static final long STREAM_PATIENCE_MS = 1_500;
+	private static final long STREAM_RESPONSE_TIMEOUT_MS = 1_500;
 
 	/** How long to wait before an endpoint without room is asked for again, in ms. */
 	private static final long NO_ENDPOINT_PAUSE_MS = 40;
@@ -99,7 +99,7 @@
 
 	private EventSplitter events;
 
-	private boolean over;
+	private boolean finished;
 
 	RequestFlow(RequestServices services, CallerExchange exchange, FullHttpRequest http, CallerRequest request,
 			Catalog catalog, Route route, ClientAccount account, String fingerprint) {
@@ -119,10 +119,10 @@
 		this.endsAtMs = this.arrivedAtMs + timeMs;
 		this.elapsedMs = services.callerTimes().elapsedMs(route.name(), request.timeLeftMs());
 		Optional<Choice> engine = probableEngine();
-		this.stageRun = new StageRun(services.clockMs(), services.stages(), services.committed(), route, request,
+		this.stageRun = new StageRun(services.clockMs(), services.stages(), services.admittedWork(), route, request,
 				engine.map((choice) -> choice.endpoint().record().failureDomain()).orElse(""), promptMs(engine),
 				priority(), this.arrivedAtMs - this.elapsedMs + route.objectiveMs(),
-				this.arrivedAtMs + Math.min(timeMs, route.patienceMs()), this);
+				this.arrivedAtMs + Math.min(timeMs, route.maxWaitMs()), this);
 	}
 
 	// The engine that would run the request if its stages were done now.
@@ -133,8 +133,8 @@
 		long nowMs = this.arrivedAtMs;
 		Placement.Demand demand = new Placement.Demand(this.request.prompt(), List.of());
 		return this.services.placement()
-			.choose(this.services.view().directory().open(this.service.name(), nowMs), Set.of(), this.service, demand,
-					this.services.peers().vmCount(), nowMs);
+			.choose(this.services.view().directory().available(this.service.name(), nowMs), Set.of(), this.service,
+					demand, this.services.peers().vmCount(), nowMs);
 	}
 
 	private long promptMs(Optional<Choice> engine) {
@@ -158,20 +158,20 @@
 	}
 
 	private boolean isAdmitted() {
-		PipelineAdmission.Expected expected = this.stageRun.estimate(this.services::workingEndpoints, this.catalog,
-				this.arrivedAtMs);
-		long patienceMs = Math.min(this.endsAtMs - this.arrivedAtMs, this.route.patienceMs());
-		PipelineAdmission.Decision decision = PipelineAdmission.decide(expected, this.route.objectiveMs(), patienceMs);
+		PipelineAdmission.ExpectedTimes expected = this.stageRun.estimate(this.services::availableEndpoints,
+				this.catalog, this.arrivedAtMs);
+		long maxWaitMs = Math.min(this.endsAtMs - this.arrivedAtMs, this.route.maxWaitMs());
+		PipelineAdmission.Decision decision = PipelineAdmission.decide(expected, this.route.objectiveMs(), maxWaitMs);
 		if (!decision.admitted()) {
 			EventLog.request("not_admitted", this.request.attemptId())
 				.with("stages_ms", Math.round(expected.stagesMs()))
 				.with("prompt_ms", Math.round(expected.promptMs()))
 				.with("objective_ms", this.route.objectiveMs())
 				.with("elapsed_ms", this.elapsedMs)
-				.with("patience_ms", patienceMs)
+				.with("patience_ms", maxWaitMs)
 				.with("rank", priority())
 				.write();
-			refuse(Refusal.OVERLOADED, decision.returnAfterMs());
+			refuse(Refusal.OVERLOADED, decision.retryAfterMs());
 		}
 		return decision.admitted();
 	}
@@ -189,7 +189,7 @@
 	}
 
 	private void dispatch() {
-		if (this.over) {
+		if (this.finished) {
 			return;
 		}
 		long nowMs = this.services.nowMs();
@@ -199,8 +199,8 @@
 		}
 		Placement.Demand demand = new Placement.Demand(this.request.prompt(), this.stageRun.finalInputs());
 		Optional<Choice> choice = this.services.placement()
-			.choose(this.services.view().directory().open(this.service.name(), nowMs), this.usedEndpoints, this.service,
-					demand, this.services.peers().vmCount(), nowMs);
+			.choose(this.services.view().directory().available(this.service.name(), nowMs), this.usedEndpoints,
+					this.service, demand, this.services.peers().vmCount(), nowMs);
 		if (choice.isEmpty()) {
 			noEndpoint(nowMs);
 			return;
@@ -211,13 +211,13 @@
 
 	// A cold endpoint may take the request a little later; otherwise there is none.
 	private void noEndpoint(long nowMs) {
-		boolean someOpen = this.services.view()
+		boolean someAvailable = this.services.view()
 			.directory()
-			.open(this.service.name(), nowMs)
+			.available(this.service.name(), nowMs)
 			.stream()
 			.anyMatch((endpoint) -> !this.usedEndpoints.contains(endpoint.record().id()));
 		long waitedMs = nowMs - this.arrivedAtMs;
-		if (someOpen && waitedMs + NO_ENDPOINT_PAUSE_MS < this.route.objectiveMs() / 2) {
+		if (someAvailable && waitedMs + NO_ENDPOINT_PAUSE_MS < this.route.objectiveMs() / 2) {
 			this.services.loop().schedule(this::dispatch, NO_ENDPOINT_PAUSE_MS, TimeUnit.MILLISECONDS);
 			return;
 		}
@@ -225,9 +225,9 @@
 	}
 
 	private void timeOver() {
-		if (!this.over) {
-			boolean maybeRan = this.runs > 0 || this.call != null;
-			refuse((maybeRan) ? Refusal.TIMED_OUT : Refusal.TOO_LATE);
+		if (!this.finished) {
+			boolean mayHaveRun = this.runs > 0 || this.call != null;
+			refuse((mayHaveRun) ? Refusal.TIMED_OUT : Refusal.TOO_LATE);
 		}
 	}
 
@@ -236,11 +236,11 @@
 	}
 
 	private void refuse(Refusal refusal) {
-		refuse(refusal, refusal.returnAfterMs());
+		refuse(refusal, refusal.retryAfterMs());
 	}
 
-	private void refuse(Refusal refusal, long returnAfterMs) {
-		if (this.over) {
+	private void refuse(Refusal refusal, long retryAfterMs) {
+		if (this.finished) {
 			return;
 		}
 		long leftMs = Math.max(0, this.endsAtMs - this.services.nowMs());
@@ -259,12 +259,12 @@
 			return;
 		}
 		finish();
-		RefusalAnswer.send(this.exchange, refusal, returnAfterMs, leftMs);
+		RefusalAnswer.send(this.exchange, refusal, retryAfterMs, leftMs);
 	}
 
 	@Override
 	public void callerLeft() {
-		if (!this.over) {
+		if (!this.finished) {
 			EventLog.request("caller_left", this.request.attemptId())
 				.with("age_ms", this.services.nowMs() - this.arrivedAtMs)
 				.write();
@@ -274,7 +274,7 @@
 	}
 
 	private void finish() {
-		this.over = true;
+		this.finished = true;
 		this.endTimer.cancel(false);
 		this.stageRun.close();
 		if (this.call != null) {
@@ -296,8 +296,8 @@
 		finish();
 	}
 
-	private void callFailed(Call failed, CallFailure failure, boolean maybeRan) {
-		if (maybeRan) {
+	private void callFailed(Call failed, CallFailure failure, boolean mayHaveRun) {
+		if (mayHaveRun) {
 			this.runs++;
 		}
 		String id = failed.endpoint.record().id();
@@ -305,14 +305,14 @@
 		long nowMs = this.services.nowMs();
 		boolean resumable = this.answerBegun && this.route.resumable();
 		boolean allowed = (!this.answerBegun || resumable)
-				&& RepeatRule.mayRepeat(this.route.isRepeatable(), maybeRan, this.runs, this.route.maxAttempts(),
+				&& RetryRule.mayRetry(this.route.isRetryable(), mayHaveRun, this.runs, this.route.maxAttempts(),
 						this.calls)
 				&& this.services.quarantine().verdict(this.fingerprint, nowMs) != CrashQuarantine.Verdict.QUARANTINED
-				&& this.services.retries().tryRepeat(this.service.name(), this.services.peers().vmCount(), nowMs);
+				&& this.services.retries().tryRetry(this.service.name(), this.services.peers().vmCount(), nowMs);
 		EventLog.request("call_failed", this.request.attemptId())
 			.with("endpoint", id)
 			.with("failure", failure)
-			.with("maybe_ran", maybeRan)
+			.with("maybe_ran", mayHaveRun)
 			.with("after_ms", nowMs - failed.sentAtMs)
 			.with("repeat", allowed)
 			.write();
@@ -351,7 +351,7 @@
 
 		private boolean firstSeen;
 
-		private Future<?> patience;
+		private Future<?> responseTimeout;
 
 		private Call(Choice choice, long nowMs) {
 			this.choice = choice;
@@ -383,13 +383,13 @@
 
 		private void watch() {
 			RequestFlow flow = RequestFlow.this;
-			if (!flow.route.isRepeatable() || flow.runs + 1 >= flow.route.maxAttempts()) {
+			if (!flow.route.isRetryable() || flow.runs + 1 >= flow.route.maxAttempts()) {
 				return;
 			}
 			double usualMs = flow.services.times().expectedMs(flow.service.name());
-			long patienceMs = (flow.route.kind().isStreaming()) ? STREAM_PATIENCE_MS
-					: (long) Math.max(LEAST_PATIENCE_MS, usualMs * PATIENCE_FACTOR);
-			this.patience = flow.services.loop().schedule(this::silent, patienceMs, TimeUnit.MILLISECONDS);
+			long timeoutMs = (flow.route.kind().isStreaming()) ? STREAM_RESPONSE_TIMEOUT_MS
+					: (long) Math.max(MIN_RESPONSE_TIMEOUT_MS, usualMs * RESPONSE_TIMEOUT_FACTOR);
+			this.responseTimeout = flow.services.loop().schedule(this::silent, timeoutMs, TimeUnit.MILLISECONDS);
 		}
 
 		private void silent() {
@@ -419,7 +419,7 @@
 			this.answer = newAnswer;
 			this.head = newHead;
 			if (newAnswer.coldForMs() > 0) {
-				this.endpoint.reportedCold(newAnswer.coldForMs(), RequestFlow.this.services.nowMs());
+				this.endpoint.markCold(newAnswer.coldForMs(), RequestFlow.this.services.nowMs());
 			}
 			if (!isStream()) {
 				this.buffered = Unpooled.buffer();
@@ -430,7 +430,7 @@
 		}
 
 		private boolean isStream() {
-			return RequestFlow.this.route.kind().isStreaming() && this.answer.isSuccess() && this.answer.sealed();
+			return RequestFlow.this.route.kind().isStreaming() && this.answer.isSuccess() && this.answer.signed();
 		}
 
 		@Override
@@ -442,14 +442,14 @@
 			ByteBuf whole = RequestFlow.this.events.add(content);
 			if (whole != null) {
 				firstSeen();
-				restartPatience();
+				restartResponseTimeout();
 				forward(whole);
 			}
 		}
 
-		private void restartPatience() {
-			if (this.patience != null) {
-				this.patience.cancel(false);
+		private void restartResponseTimeout() {
+			if (this.responseTimeout != null) {
+				this.responseTimeout.cancel(false);
 				watch();
 			}
 		}
@@ -508,16 +508,16 @@
 
 		private void endedWhole(long nowMs) {
 			RequestFlow flow = RequestFlow.this;
-			boolean proper = !this.answer.isSuccess() || this.answer.sealed();
+			boolean proper = !this.answer.isSuccess() || this.answer.signed();
 			if (!proper) {
 				this.endpoint.failed(false, nowMs);
 				flow.callFailed(this, CallFailure.WRONG_ANSWER, true);
 				return;
 			}
-			boolean mayRepeat = this.answer.isServerError() && flow.route.isRepeatable()
-					&& RepeatRule.mayRepeat(true, true, flow.runs + 1, flow.route.maxAttempts(), flow.calls)
-					&& flow.services.retries().tryRepeat(flow.service.name(), flow.services.peers().vmCount(), nowMs);
-			if (mayRepeat) {
+			boolean mayRetry = this.answer.isServerError() && flow.route.isRetryable()
+					&& RetryRule.mayRetry(true, true, flow.runs + 1, flow.route.maxAttempts(), flow.calls)
+					&& flow.services.retries().tryRetry(flow.service.name(), flow.services.peers().vmCount(), nowMs);
+			if (mayRetry) {
 				this.endpoint.failed(false, nowMs);
 				flow.runs++;
 				flow.usedEndpoints.add(this.endpoint.record().id());
@@ -568,7 +568,7 @@
 			else if (failure == CallFailure.NOT_CONNECTED) {
 				flow.services.confirmCrash(this.endpoint.record().id(), nowMs);
 			}
-			flow.callFailed(this, failure, failure.maybeRan());
+			flow.callFailed(this, failure, failure.mayHaveRun());
 		}
 
 		private void cancel() {
@@ -588,8 +588,8 @@
 			if (!this.firstSeen) {
 				this.endpoint.firstEvent(this.unreadTokens);
 			}
-			if (this.patience != null) {
-				this.patience.cancel(false);
+			if (this.responseTimeout != null) {
+				this.responseTimeout.cancel(false);
 			}
 		}
 
--- a/entry/src/main/java/org/fulmargap/entry/request/StageProgress.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/StageProgress.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 import org.fulmargap.catalog.StageSpec;
-import org.fulmargap.entry.stage.PieceOutcome;
+import org.fulmargap.entry.stage.WorkItemOutcome;
 
 /**
  * How far one stage of one request is. Confined to the event loop.
@@ -17,15 +17,15 @@
 
 	private final StageSpec spec;
 
-	private final PieceOutcome[] outcomes;
+	private final WorkItemOutcome[] outcomes;
 
 	private final boolean[] inputsRead;
 
-	private final Set<Long> tickets = new HashSet<>();
+	private final Set<Long> itemIds = new HashSet<>();
 
 	private int done;
 
-	private int committed;
+	private int admitted;
 
 	private boolean started;
 
@@ -36,12 +36,12 @@
 	/**
 	 * Creates the progress of a stage that has not begun.
 	 * @param spec the stage
-	 * @param pieceCount the number of its pieces; 0 if the request omits the stage
+	 * @param itemCount the number of its work items; 0 if the request omits the stage
 	 */
-	StageProgress(StageSpec spec, int pieceCount) {
+	StageProgress(StageSpec spec, int itemCount) {
 		this.spec = spec;
-		this.outcomes = new PieceOutcome[pieceCount];
-		this.inputsRead = new boolean[pieceCount];
+		this.outcomes = new WorkItemOutcome[itemCount];
+		this.inputsRead = new boolean[itemCount];
 	}
 
 	StageSpec spec() {
@@ -52,7 +52,7 @@
 		return this.spec.service();
 	}
 
-	int pieceCount() {
+	int itemCount() {
 		return this.outcomes.length;
 	}
 
@@ -78,7 +78,7 @@
 	}
 
 	/**
-	 * Tells whether all pieces have read their inputs.
+	 * Tells whether all work items have read their inputs.
 	 * @return {@code true} if the inputs are needed again only if a call fails
 	 */
 	boolean needsNoInputs() {
@@ -94,7 +94,7 @@
 	}
 
 	/**
-	 * Returns the pieces that have no result.
+	 * Returns the work items that have no result.
 	 * @return their indexes
 	 */
 	List<Integer> missing() {
@@ -107,56 +107,56 @@
 		return missing;
 	}
 
-	void submitted(long ticket) {
-		this.tickets.add(ticket);
+	void submitted(long itemId) {
+		this.itemIds.add(itemId);
 	}
 
-	void ended(long ticket) {
-		this.tickets.remove(ticket);
+	void ended(long itemId) {
+		this.itemIds.remove(itemId);
 	}
 
 	/**
-	 * Takes the pieces that were submitted and have not ended.
-	 * @return the numbers of the pieces, which are forgotten here
+	 * Takes the work items that were submitted and have not ended.
+	 * @return the numbers of the work items, which are forgotten here
 	 */
-	List<Long> takeTickets() {
-		List<Long> taken = List.copyOf(this.tickets);
-		this.tickets.clear();
+	List<Long> takeItemIds() {
+		List<Long> taken = List.copyOf(this.itemIds);
+		this.itemIds.clear();
 		return taken;
 	}
 
-	void inputsRead(int piece) {
-		this.inputsRead[piece] = true;
+	void inputsRead(int index) {
+		this.inputsRead[index] = true;
 	}
 
-	void done(int piece, PieceOutcome outcome) {
-		this.outcomes[piece] = outcome;
-		this.inputsRead[piece] = true;
+	void done(int index, WorkItemOutcome outcome) {
+		this.outcomes[index] = outcome;
+		this.inputsRead[index] = true;
 		this.done++;
-		this.committed--;
+		this.admitted--;
 	}
 
 	/**
-	 * Commits to all pieces.
-	 * @return the number of pieces that count as work from now on
+	 * Commits to all work items.
+	 * @return the number of work items that count as work from now on
 	 */
-	int commit() {
-		this.committed = this.outcomes.length;
-		return this.committed;
+	int admit() {
+		this.admitted = this.outcomes.length;
+		return this.admitted;
 	}
 
 	/**
 	 * Gives up what is left.
-	 * @return the number of pieces that count as work no more
+	 * @return the number of work items that count as work no more
 	 */
-	int takeCommitted() {
-		int left = this.committed;
-		this.committed = 0;
+	int takeAdmitted() {
+		int left = this.admitted;
+		this.admitted = 0;
 		return left;
 	}
 
 	/**
-	 * Prepares the pieces without a result to be submitted anew.
+	 * Prepares the work items without a result to be submitted anew.
 	 */
 	void rewind() {
 		this.started = false;
@@ -167,11 +167,11 @@
 
 	/**
 	 * Forgets all results, so that they are made anew.
-	 * @return the number of pieces that count as work again
+	 * @return the number of work items that count as work again
 	 */
 	int forget() {
 		int again = this.done;
-		this.committed += again;
+		this.admitted += again;
 		this.done = 0;
 		this.released = false;
 		Arrays.fill(this.outcomes, null);
@@ -180,9 +180,9 @@
 
 	/**
 	 * Returns the results.
-	 * @return the outcomes of the pieces that are done
+	 * @return the outcomes of the work items that are done
 	 */
-	List<PieceOutcome> results() {
+	List<WorkItemOutcome> results() {
 		return Arrays.stream(this.outcomes).filter(Objects::nonNull).toList();
 	}
 
@@ -191,7 +191,7 @@
 	 * @return the names
 	 */
 	List<String> handles() {
-		return results().stream().map(PieceOutcome::handle).toList();
+		return results().stream().map(WorkItemOutcome::handle).toList();
 	}
 
 	boolean isReleased() {
--- a/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
@@ -8,16 +8,16 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.Stream;
 
-import org.fulmargap.batch.CommittedWork;
-import org.fulmargap.batch.Piece;
+import org.fulmargap.batch.AdmittedWork;
 import org.fulmargap.batch.PipelineAdmission;
 import org.fulmargap.batch.PipelineEstimate;
+import org.fulmargap.batch.WorkItem;
 import org.fulmargap.catalog.Catalog;
 import org.fulmargap.catalog.Route;
 import org.fulmargap.catalog.ServiceSpec;
 import org.fulmargap.entry.EventLog;
-import org.fulmargap.entry.stage.PieceOutcome;
 import org.fulmargap.entry.stage.StageClient;
+import org.fulmargap.entry.stage.WorkItemOutcome;
 import org.fulmargap.placement.Placement;
 import org.fulmargap.platform.CallerRequest;
 
@@ -26,7 +26,9 @@
  */
 final class StageRun {
 
-	/** What a stage is expected to take, in milliseconds, to order pieces by urgency. */
+	/**
+	 * What a stage is expected to take, in milliseconds, to order work items by urgency.
+	 */
 	private static final long STAGE_MS = 260;
 
 	/**
@@ -42,7 +44,7 @@
 
 	private final StageClient client;
 
-	private final CommittedWork committed;
+	private final AdmittedWork admittedWork;
 
 	private final Route route;
 
@@ -64,13 +66,13 @@
 
 	private boolean remade;
 
-	private boolean over;
+	private boolean finished;
 
 	/**
 	 * Creates a run.
 	 * @param clockMs the present time in milliseconds
-	 * @param client runs pieces
-	 * @param committed the pieces that admitted requests still need
+	 * @param client runs work items
+	 * @param admittedWork the work items that admitted requests still need
 	 * @param route the route
 	 * @param request what the caller asks for
 	 * @param engineDomain the failure domain of the engine that will probably run the
@@ -82,11 +84,11 @@
 	 * @param expiresAtMs when the request is given up, in milliseconds
 	 * @param listener hears the end
 	 */
-	StageRun(LongSupplier clockMs, StageClient client, CommittedWork committed, Route route, CallerRequest request,
+	StageRun(LongSupplier clockMs, StageClient client, AdmittedWork admittedWork, Route route, CallerRequest request,
 			String engineDomain, long promptMs, int priority, long dueAtMs, long expiresAtMs, Listener listener) {
 		this.clockMs = clockMs;
 		this.client = client;
-		this.committed = committed;
+		this.admittedWork = admittedWork;
 		this.route = route;
 		this.request = request;
 		this.engineDomain = engineDomain;
@@ -96,7 +98,7 @@
 		this.expiresAtMs = expiresAtMs;
 		this.listener = listener;
 		for (int i = 0; i < route.stages().size(); i++) {
-			this.stages.add(new StageProgress(route.stages().get(i), request.pieceCount(i)));
+			this.stages.add(new StageProgress(route.stages().get(i), request.itemCount(i)));
 		}
 	}
 
@@ -107,45 +109,45 @@
 	 * @param nowMs the present time in milliseconds
 	 * @return the expected times
 	 */
-	PipelineAdmission.Expected estimate(ToDoubleFunction<String> endpoints, Catalog catalog, long nowMs) {
+	PipelineAdmission.ExpectedTimes estimate(ToDoubleFunction<String> endpoints, Catalog catalog, long nowMs) {
 		List<PipelineEstimate.StageLoad> loads = new ArrayList<>();
 		for (int i = 0; i < this.stages.size(); i++) {
 			StageProgress stage = this.stages.get(i);
 			ServiceSpec service = catalog.services().get(stage.service());
 			if (!stage.isOmitted() && service != null && service.stage() != null) {
-				int before = this.committed.before(service.name(), this.priority, nowMs);
+				int itemsAhead = this.admittedWork.itemsAhead(service.name(), this.priority, nowMs);
 				loads.add(new PipelineEstimate.StageLoad(service.stage(), endpoints.applyAsDouble(service.name()),
-						before, depth(i)));
+						itemsAhead, depth(i)));
 			}
 		}
-		return new PipelineAdmission.Expected(PipelineEstimate.stagesMs(loads), PipelineEstimate.unloadedMs(loads),
+		return new PipelineAdmission.ExpectedTimes(PipelineEstimate.stagesMs(loads), PipelineEstimate.unloadedMs(loads),
 				this.promptMs);
 	}
 
 	private int depth(int index) {
 		int most = 0;
-		for (int before : this.stages.get(index).spec().after()) {
+		for (int before : this.stages.get(index).spec().dependencies()) {
 			most = Math.max(most, depth(before));
 		}
 		return most + ((!this.stages.get(index).isOmitted()) ? 1 : 0);
 	}
 
 	void start() {
-		this.stages.forEach((stage) -> this.committed.add(stage.service(), this.priority, stage.commit()));
+		this.stages.forEach((stage) -> this.admittedWork.add(stage.service(), this.priority, stage.admit()));
 		advance();
 	}
 
 	private void advance() {
 		for (int i = 0; i < this.stages.size(); i++) {
 			StageProgress stage = this.stages.get(i);
-			boolean ready = stage.spec().after().stream().allMatch((index) -> this.stages.get(index).isDone());
+			boolean ready = stage.spec().dependencies().stream().allMatch((index) -> this.stages.get(index).isDone());
 			if (!stage.isStarted() && ready && !isEarly(i)) {
 				stage.start(this.clockMs.getAsLong());
 				submit(i, stage);
 			}
 		}
-		if (!this.over && this.stages.stream().allMatch(StageProgress::isDone)) {
-			this.over = true;
+		if (!this.finished && this.stages.stream().allMatch(StageProgress::isDone)) {
+			this.finished = true;
 			this.listener.stagesDone();
 		}
 	}
@@ -165,90 +167,90 @@
 
 	private void submit(int index, StageProgress stage) {
 		List<String> inputs = new ArrayList<>();
-		stage.spec().after().forEach((before) -> inputs.addAll(this.stages.get(before).handles()));
-		String key = (stage.spec().after().isEmpty()) ? this.request.chunkKey() : "";
+		stage.spec().dependencies().forEach((before) -> inputs.addAll(this.stages.get(before).handles()));
+		String key = (stage.spec().dependencies().isEmpty()) ? this.request.inputKey() : "";
 		String inputDomain = inputDomain(stage);
 		long behindMs = FIRST_EVENT_MS + this.promptMs + followers(index) * STAGE_MS;
-		for (int segment : stage.missing()) {
-			long ticket = this.client.newTicket();
-			stage.submitted(ticket);
-			Piece piece = new Piece(ticket, this.request.attemptId(), index, segment, key, inputs, inputDomain,
+		for (int itemIndex : stage.missing()) {
+			long itemId = this.client.newItemId();
+			stage.submitted(itemId);
+			WorkItem item = new WorkItem(itemId, this.request.attemptId(), index, itemIndex, key, inputs, inputDomain,
 					this.priority, this.dueAtMs - behindMs, this.expiresAtMs - behindMs, stage.spec().resultBytes());
-			this.client.submit(stage.service(), piece, (outcome) -> finished(stage, segment, outcome));
+			this.client.submit(stage.service(), item, (outcome) -> handleOutcome(stage, itemIndex, outcome));
 		}
 	}
 
 	// Results that go to the request itself are best made beside the engine that will
 	// probably run it.
 	private String inputDomain(StageProgress stage) {
-		if (stage.spec().after().isEmpty()) {
+		if (stage.spec().dependencies().isEmpty()) {
 			return (stage.spec().resultBytes() >= LARGE_RESULT_BYTES) ? this.engineDomain : "";
 		}
 		if (inputBytes(stage) < LARGE_RESULT_BYTES) {
 			return "";
 		}
 		Map<String, Integer> counts = new HashMap<>();
-		for (int before : stage.spec().after()) {
-			for (PieceOutcome outcome : this.stages.get(before).results()) {
+		for (int before : stage.spec().dependencies()) {
+			for (WorkItemOutcome outcome : this.stages.get(before).results()) {
 				counts.merge(outcome.failureDomain(), 1, Integer::sum);
 			}
 		}
 		return counts.entrySet().stream().max(Map.Entry.comparingByValue()).map(Map.Entry::getKey).orElse("");
 	}
 
-	// Each piece of a stage reads all its inputs.
+	// Each work item of a stage reads all its inputs.
 	private long inputBytes(StageProgress stage) {
 		long bytes = 0;
-		for (int before : stage.spec().after()) {
+		for (int before : stage.spec().dependencies()) {
 			StageProgress inputs = this.stages.get(before);
-			bytes += inputs.pieceCount() * inputs.spec().resultBytes();
+			bytes += inputs.itemCount() * inputs.spec().resultBytes();
 		}
-		return bytes * stage.pieceCount();
+		return bytes * stage.itemCount();
 	}
 
 	private long followers(int index) {
 		long most = 0;
 		for (int i = index + 1; i < this.stages.size(); i++) {
-			if (this.route.stages().get(i).after().contains(index) && !this.stages.get(i).isOmitted()) {
+			if (this.route.stages().get(i).dependencies().contains(index) && !this.stages.get(i).isOmitted()) {
 				most = Math.max(most, 1 + followers(i));
 			}
 		}
 		return most;
 	}
 
-	private void finished(StageProgress stage, int place, PieceOutcome outcome) {
+	private void handleOutcome(StageProgress stage, int itemIndex, WorkItemOutcome outcome) {
 		if (outcome.status().isLast()) {
-			stage.ended(outcome.ticket());
+			stage.ended(outcome.itemId());
 		}
-		if (this.over) {
+		if (this.finished) {
 			if (outcome.isDone()) {
 				this.client.release(stage.service(), List.of(outcome.handle()));
 			}
 			return;
 		}
 		switch (outcome.status()) {
-			case INPUTS_READ -> inputsRead(stage, place);
-			case DONE -> done(stage, place, outcome);
+			case INPUTS_READ -> inputsRead(stage, itemIndex);
+			case DONE -> done(stage, itemIndex, outcome);
 			case INPUT_GONE -> inputGone(stage);
 			case FAILED -> failed(stage);
 		}
 	}
 
-	private void inputsRead(StageProgress stage, int place) {
-		stage.inputsRead(place);
+	private void inputsRead(StageProgress stage, int itemIndex) {
+		stage.inputsRead(itemIndex);
 		if (stage.needsNoInputs()) {
-			unneededInputs(stage).forEach(this::spare);
+			unneededInputs(stage).forEach(this::markEvictable);
 		}
 	}
 
-	private void done(StageProgress stage, int place, PieceOutcome outcome) {
-		stage.done(place, outcome);
-		this.committed.remove(stage.service(), this.priority, 1);
+	private void done(StageProgress stage, int itemIndex, WorkItemOutcome outcome) {
+		stage.done(itemIndex, outcome);
+		this.admittedWork.remove(stage.service(), this.priority, 1);
 		if (stage.isDone()) {
 			EventLog.request("stage_done", this.request.attemptId())
 				.with("stage", this.stages.indexOf(stage))
 				.with("service", stage.service())
-				.with("pieces", stage.pieceCount())
+				.with("pieces", stage.itemCount())
 				.with("took_ms", this.clockMs.getAsLong() - stage.startedAtMs())
 				.write();
 			unneededInputs(stage).stream().filter((before) -> !isNeeded(before)).forEach(this::release);
@@ -257,7 +259,7 @@
 	}
 
 	private void failed(StageProgress stage) {
-		this.over = true;
+		this.finished = true;
 		close();
 		this.listener.stageFailed(stage.service());
 	}
@@ -276,12 +278,12 @@
 	}
 
 	private void rewind(StageProgress stage) {
-		stage.takeTickets().forEach(this.client::withdraw);
+		stage.takeItemIds().forEach(this.client::cancel);
 		stage.rewind();
-		for (int index : stage.spec().after()) {
+		for (int index : stage.spec().dependencies()) {
 			StageProgress before = this.stages.get(index);
 			release(before);
-			this.committed.add(before.service(), this.priority, before.forget());
+			this.admittedWork.add(before.service(), this.priority, before.forget());
 			rewind(before);
 		}
 	}
@@ -289,7 +291,7 @@
 	// Results that no stage has to read any more take up room for nothing.
 	private List<StageProgress> unneededInputs(StageProgress reader) {
 		return reader.spec()
-			.after()
+			.dependencies()
 			.stream()
 			.map(this.stages::get)
 			.filter((before) -> readers(before).allMatch(StageProgress::needsNoInputs))
@@ -302,13 +304,13 @@
 
 	private Stream<StageProgress> readers(StageProgress stage) {
 		int index = this.stages.indexOf(stage);
-		return this.stages.stream().filter((reader) -> reader.spec().after().contains(index));
+		return this.stages.stream().filter((reader) -> reader.spec().dependencies().contains(index));
 	}
 
-	private void spare(StageProgress stage) {
+	private void markEvictable(StageProgress stage) {
 		List<String> handles = stage.handles();
 		if (!handles.isEmpty() && !stage.isReleased()) {
-			this.client.spare(stage.service(), handles);
+			this.client.markEvictable(stage.service(), handles);
 		}
 	}
 
@@ -341,7 +343,7 @@
 		List<Placement.Input> inputs = new ArrayList<>();
 		for (int index : this.route.finalStages()) {
 			StageProgress stage = this.stages.get(index);
-			for (PieceOutcome outcome : stage.results()) {
+			for (WorkItemOutcome outcome : stage.results()) {
 				inputs.add(new Placement.Input(outcome.failureDomain(), stage.spec().resultBytes()));
 			}
 		}
@@ -352,10 +354,10 @@
 	 * Withdraws what still waits and gives up all results.
 	 */
 	void close() {
-		this.over = true;
+		this.finished = true;
 		this.stages.forEach((stage) -> {
-			stage.takeTickets().forEach(this.client::withdraw);
-			this.committed.remove(stage.service(), this.priority, stage.takeCommitted());
+			stage.takeItemIds().forEach(this.client::cancel);
+			this.admittedWork.remove(stage.service(), this.priority, stage.takeAdmitted());
 			release(stage);
 		});
 	}
--- a/entry/src/main/java/org/fulmargap/entry/stage/StageDesk.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
@@ -16,9 +16,9 @@
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.util.concurrent.Future;
-import org.fulmargap.batch.BatchFormer;
-import org.fulmargap.batch.Piece;
+import org.fulmargap.batch.BatchScheduler;
 import org.fulmargap.batch.StageCall;
+import org.fulmargap.batch.WorkItem;
 import org.fulmargap.catalog.ServiceSpec;
 import org.fulmargap.entry.EntryMetrics;
 import org.fulmargap.entry.EventLog;
@@ -27,17 +27,17 @@
 import org.fulmargap.entry.endpoint.EndpointCall;
 import org.fulmargap.entry.endpoint.EndpointPool;
 import org.fulmargap.placement.Endpoint;
-import org.fulmargap.placement.RetryAllowance;
+import org.fulmargap.placement.SharedRetryBudget;
 import org.fulmargap.platform.EndpointAnswer;
 import org.fulmargap.platform.MalformedRecordException;
-import org.fulmargap.platform.PieceResult;
 import org.fulmargap.platform.StageCalls;
+import org.fulmargap.platform.WorkItemResult;
 
 /**
- * Makes the calls of the stage services that this VM is in charge of, with the pieces of
- * all entry VMs. Confined to the event loop.
+ * Makes the calls of the stage services that this VM is in charge of, with the work items
+ * of all entry VMs. Confined to the event loop.
  */
-public final class StageDesk {
+public final class StageCallDispatcher {
 
 	/** A call that takes this many times its expected time is given up. */
 	private static final double CALL_TIMEOUT_FACTOR = 2.5;
@@ -48,10 +48,10 @@
 	/** How long an endpoint that is full gets nothing, in milliseconds. */
 	private static final long FULL_PAUSE_MS = 60;
 
-	/** The calls in which one piece may be. */
-	private static final int MAX_CALLS_PER_PIECE = 3;
+	/** The calls in which one work item may be. */
+	private static final int MAX_CALLS_PER_ITEM = 3;
 
-	/** How often pieces that wait are looked at, in milliseconds. */
+	/** How often work items that wait are looked at, in milliseconds. */
 	private static final long TICK_MS = 50;
 
 	/**
@@ -61,7 +61,7 @@
 	private static final long READ_INPUTS_MS = 80;
 
 	/** Endpoints slower than usual by this factor are not relied on to have begun. */
-	private static final double MAX_SLOWNESS_TO_RELY_ON = 1.5;
+	private static final double MAX_RELIABLE_SLOWDOWN_FACTOR = 1.5;
 
 	private static final long BYTES_PER_KB = 1_000;
 
@@ -76,18 +76,18 @@
 
 	private final EndpointPool pool;
 
-	private final RetryAllowance retries;
+	private final SharedRetryBudget retries;
 
 	private final IntSupplier vmCount;
 
 	private final EntryMetrics metrics;
 
-	private final Map<String, Lane> lanes = new HashMap<>();
+	private final Map<String, ServiceQueue> queues = new HashMap<>();
 
 	private final Map<String, List<String>> freedByAddress = new HashMap<>();
 
 	/**
-	 * Creates a desk.
+	 * Creates a dispatcher.
 	 * @param loop the event loop
 	 * @param clockMs the present time in milliseconds
 	 * @param view what the platform's store holds
@@ -96,8 +96,8 @@
 	 * @param vmCount the number of entry VMs
 	 * @param metrics counters and latencies
 	 */
-	public StageDesk(EventLoop loop, LongSupplier clockMs, StoreView view, EndpointPool pool, RetryAllowance retries,
-			IntSupplier vmCount, EntryMetrics metrics) {
+	public StageCallDispatcher(EventLoop loop, LongSupplier clockMs, StoreView view, EndpointPool pool,
+			SharedRetryBudget retries, IntSupplier vmCount, EntryMetrics metrics) {
 		this.loop = loop;
 		this.clockMs = clockMs;
 		this.view = view;
@@ -109,26 +109,27 @@
 	}
 
 	/**
-	 * Takes a piece.
+	 * Takes a work item.
 	 * @param service the service of its stage
-	 * @param piece the piece
+	 * @param item the work item
 	 * @param outcome hears what becomes of it
-	 * @return what withdraws the piece
+	 * @return what cancels the work item
 	 */
-	public Runnable submit(String service, Piece piece, Consumer<PieceOutcome> outcome) {
+	public Runnable submit(String service, WorkItem item, Consumer<WorkItemOutcome> outcome) {
 		ServiceSpec spec = this.view.catalog().map((catalog) -> catalog.services().get(service)).orElse(null);
 		if (spec == null || spec.stage() == null) {
-			this.loop.execute(() -> outcome.accept(PieceOutcome.failed(piece.ticket())));
+			this.loop.execute(() -> outcome.accept(WorkItemOutcome.failed(item.itemId())));
 			return () -> {
 			};
 		}
-		Lane lane = this.lanes.computeIfAbsent(service, (name) -> new Lane(name, new BatchFormer(spec.stage())));
-		lane.former.capacity(spec.stage());
+		ServiceQueue queue = this.queues.computeIfAbsent(service,
+				(name) -> new ServiceQueue(name, new BatchScheduler(spec.stage())));
+		queue.scheduler.capacity(spec.stage());
 		Entry entry = new Entry(outcome);
-		lane.entries.put(piece, entry);
-		lane.former.add(piece);
-		lane.pumpSoon();
-		return () -> lane.withdraw(piece);
+		queue.entries.put(item, entry);
+		queue.scheduler.add(item);
+		queue.scheduleDispatch();
+		return () -> queue.cancel(item);
 	}
 
 	/**
@@ -150,52 +151,52 @@
 	 * @param service the service that made them
 	 * @param handles the names of the results
 	 */
-	public void spare(String service, List<String> handles) {
-		Lane lane = this.lanes.get(service);
-		if (lane != null) {
-			handles.forEach(lane.former::spare);
-			lane.pumpSoon();
+	public void markEvictable(String service, List<String> handles) {
+		ServiceQueue queue = this.queues.get(service);
+		if (queue != null) {
+			handles.forEach(queue.scheduler::markEvictable);
+			queue.scheduleDispatch();
 		}
 	}
 
 	// The room is free when the endpoint says so, not before.
 	private void freed(String address, List<String> handles) {
 		for (Endpoint endpoint : this.view.directory().all()) {
-			Lane lane = this.lanes.get(endpoint.record().service());
-			if (lane != null && endpoint.record().address().equals(address)) {
-				handles.forEach((handle) -> lane.former.release(endpoint.record().id(), handle));
-				lane.pumpSoon();
+			ServiceQueue queue = this.queues.get(endpoint.record().service());
+			if (queue != null && endpoint.record().address().equals(address)) {
+				handles.forEach((handle) -> queue.scheduler.release(endpoint.record().id(), handle));
+				queue.scheduleDispatch();
 			}
 		}
 	}
 
 	/**
-	 * Returns the pieces that are not done.
-	 * @return the number of pieces that wait or are in a call
+	 * Returns the work items that are not done.
+	 * @return the number of work items that wait or are in a call
 	 */
 	public int pendingCount() {
-		return this.lanes.values().stream().mapToInt((lane) -> lane.entries.size()).sum();
+		return this.queues.values().stream().mapToInt((queue) -> queue.entries.size()).sum();
 	}
 
 	/**
-	 * Returns the endpoints that work, of the services with pieces at this VM.
+	 * Returns the endpoints that work, of the services with work items at this VM.
 	 * @return the number of endpoints of usual speed, by service
 	 */
-	public Map<String, Double> workingEndpoints() {
+	public Map<String, Double> availableEndpoints() {
 		long nowMs = this.clockMs.getAsLong();
-		Map<String, Double> working = new HashMap<>();
-		this.lanes.forEach((service, lane) -> {
-			if (!lane.entries.isEmpty()) {
-				working.put(service, speed(this.view.directory().open(service, nowMs), nowMs));
+		Map<String, Double> available = new HashMap<>();
+		this.queues.forEach((service, queue) -> {
+			if (!queue.entries.isEmpty()) {
+				available.put(service, speed(this.view.directory().available(service, nowMs), nowMs));
 			}
 		});
-		return working;
+		return available;
 	}
 
 	private static double speed(List<Endpoint> endpoints, long nowMs) {
 		return endpoints.stream()
 			.filter((endpoint) -> !endpoint.isSuspended(nowMs))
-			.mapToDouble((endpoint) -> 1 / Math.max(1, endpoint.slowness()))
+			.mapToDouble((endpoint) -> 1 / Math.max(1, endpoint.slowdownFactor()))
 			.sum();
 	}
 
@@ -212,91 +213,93 @@
 	}
 
 	private void tick() {
-		this.lanes.values().forEach(Lane::pump);
+		this.queues.values().forEach(ServiceQueue::dispatch);
 	}
 
 	/**
-	 * The pieces and calls of one service.
+	 * The work items and calls of one service.
 	 */
-	private final class Lane {
+	private final class ServiceQueue {
 
 		private final String service;
 
-		private final BatchFormer former;
+		private final BatchScheduler scheduler;
 
-		private final Map<Piece, Entry> entries = new HashMap<>();
+		private final Map<WorkItem, Entry> entries = new HashMap<>();
 
-		private boolean pumpPlanned;
+		private boolean dispatchScheduled;
 
-		private Lane(String service, BatchFormer former) {
+		private ServiceQueue(String service, BatchScheduler scheduler) {
 			this.service = service;
-			this.former = former;
+			this.scheduler = scheduler;
 		}
 
-		private void pumpSoon() {
-			// Pieces that arrive in one turn of the event loop share a call.
-			if (!this.pumpPlanned) {
-				this.pumpPlanned = true;
-				StageDesk.this.loop.execute(this::pump);
+		private void scheduleDispatch() {
+			// Work items that arrive in one turn of the event loop share a call.
+			if (!this.dispatchScheduled) {
+				this.dispatchScheduled = true;
+				StageCallDispatcher.this.loop.execute(this::dispatch);
 			}
 		}
 
-		private void pump() {
-			this.pumpPlanned = false;
-			long nowMs = StageDesk.this.clockMs.getAsLong();
-			if (this.former.waitingCount() == 0) {
+		private void dispatch() {
+			this.dispatchScheduled = false;
+			long nowMs = StageCallDispatcher.this.clockMs.getAsLong();
+			if (this.scheduler.waitingCount() == 0) {
 				return;
 			}
-			List<Endpoint> open = StageDesk.this.view.directory().open(this.service, nowMs);
-			for (Piece late : this.former.expire(open.size(), nowMs)) {
-				StageDesk.this.metrics.count("pieces_expired");
+			List<Endpoint> available = StageCallDispatcher.this.view.directory().available(this.service, nowMs);
+			for (WorkItem late : this.scheduler.expire(available.size(), nowMs)) {
+				StageCallDispatcher.this.metrics.count("pieces_expired");
 				EventLog.request("piece_expired", late.attemptId())
 					.with("service", this.service)
 					.with("stage", late.stage())
-					.with("waiting", this.former.waitingCount())
-					.with("endpoints", open.size())
+					.with("waiting", this.scheduler.waitingCount())
+					.with("endpoints", available.size())
 					.with("left_ms", late.expiresAtMs() - nowMs)
 					.write();
-				finish(late, PieceOutcome.failed(late.ticket()));
+				finish(late, WorkItemOutcome.failed(late.itemId()));
 			}
-			Optional<StageCall> next = this.former.next(open, nowMs);
+			Optional<StageCall> next = this.scheduler.next(available, nowMs);
 			while (next.isPresent()) {
 				send(next.get(), nowMs);
-				next = this.former.next(open, nowMs);
+				next = this.scheduler.next(available, nowMs);
 			}
-			release(this.former.reclaim(nowMs));
+			release(this.scheduler.evict(nowMs));
 		}
 
 		private void send(StageCall call, long nowMs) {
-			call.pieces().forEach((piece) -> this.entries.get(piece).calls++);
-			StageDesk.this.metrics.count("stage_calls");
+			call.items().forEach((item) -> this.entries.get(item).calls++);
+			StageCallDispatcher.this.metrics.count("stage_calls");
 			EventLog.call("stage_call")
 				.with("service", this.service)
 				.with("endpoint", call.endpoint())
-				.with("pieces", call.pieces().size())
-				.with("near", this.former.nearCount(call))
+				.with("pieces", call.items().size())
+				.with("near", this.scheduler.localCount(call))
 				.with("expected_ms", Math.round(call.expectedMs()))
-				.with("waiting", this.former.waitingCount())
-				.with("late", this.former.lateCount())
-				.with("free_kb", this.former.freeBytes(call.endpoint(), nowMs) / BYTES_PER_KB)
+				.with("waiting", this.scheduler.waitingCount())
+				.with("late", this.scheduler.lateCount())
+				.with("free_kb", this.scheduler.freeBytes(call.endpoint(), nowMs) / BYTES_PER_KB)
 				.write();
 			RunningCall running = new RunningCall(this, call, nowMs);
 			String address = call.endpoint().record().address();
-			running.cancellable = StageDesk.this.pool.send(address, StageRequests.post(address, StageCalls.RUN_PATH,
-					StageCalls.encode(call.pieces(), nowMs), call.endpoint().record().id()), running);
+			running.cancellable = StageCallDispatcher.this.pool.send(address, StageRequests.post(address,
+					StageCalls.RUN_PATH, StageCalls.encode(call.items(), nowMs), call.endpoint().record().id()),
+					running);
 			double timeoutMs = Math.max(LEAST_CALL_TIMEOUT_MS,
-					call.expectedMs() * CALL_TIMEOUT_FACTOR * Math.max(1, call.endpoint().slowness()));
-			StageDesk.this.loop.schedule(running::inputsRead, READ_INPUTS_MS, TimeUnit.MILLISECONDS);
-			running.timeout = StageDesk.this.loop.schedule(running::timedOut, (long) timeoutMs, TimeUnit.MILLISECONDS);
+					call.expectedMs() * CALL_TIMEOUT_FACTOR * Math.max(1, call.endpoint().slowdownFactor()));
+			StageCallDispatcher.this.loop.schedule(running::inputsRead, READ_INPUTS_MS, TimeUnit.MILLISECONDS);
+			running.timeout = StageCallDispatcher.this.loop.schedule(running::timedOut, (long) timeoutMs,
+					TimeUnit.MILLISECONDS);
 		}
 
-		private void withdraw(Piece piece) {
-			this.entries.remove(piece);
-			this.former.remove(piece);
+		private void cancel(WorkItem item) {
+			this.entries.remove(item);
+			this.scheduler.remove(item);
 		}
 
-		private void finish(Piece piece, PieceOutcome outcome) {
-			Entry entry = this.entries.remove(piece);
+		private void finish(WorkItem item, WorkItemOutcome outcome) {
+			Entry entry = this.entries.remove(item);
 			if (entry != null) {
 				entry.outcome.accept(outcome);
 			}
@@ -305,24 +308,24 @@
 			}
 		}
 
-		private void waitAgain(Piece piece) {
-			if (this.entries.containsKey(piece)) {
-				this.former.add(piece);
+		private void requeue(WorkItem item) {
+			if (this.entries.containsKey(item)) {
+				this.scheduler.add(item);
 			}
 		}
 
-		private void again(Piece piece, boolean arrived, long nowMs) {
-			Entry entry = this.entries.get(piece);
+		private void retry(WorkItem item, boolean mayHaveRun, long nowMs) {
+			Entry entry = this.entries.get(item);
 			if (entry == null) {
 				return;
 			}
-			boolean allowed = entry.calls < MAX_CALLS_PER_PIECE && (!arrived
-					|| StageDesk.this.retries.tryRepeat(this.service, StageDesk.this.vmCount.getAsInt(), nowMs));
+			boolean allowed = entry.calls < MAX_CALLS_PER_ITEM && (!mayHaveRun || StageCallDispatcher.this.retries
+				.tryRetry(this.service, StageCallDispatcher.this.vmCount.getAsInt(), nowMs));
 			if (allowed) {
-				this.former.add(piece);
+				this.scheduler.add(item);
 			}
 			else {
-				finish(piece, PieceOutcome.failed(piece.ticket()));
+				finish(item, WorkItemOutcome.failed(item.itemId()));
 			}
 		}
 
@@ -330,11 +333,11 @@
 
 	private static final class Entry {
 
-		private final Consumer<PieceOutcome> outcome;
+		private final Consumer<WorkItemOutcome> outcome;
 
 		private int calls;
 
-		private Entry(Consumer<PieceOutcome> outcome) {
+		private Entry(Consumer<WorkItemOutcome> outcome) {
 			this.outcome = outcome;
 		}
 
@@ -345,7 +348,7 @@
 	 */
 	private final class RunningCall implements EndpointCall {
 
-		private final Lane lane;
+		private final ServiceQueue queue;
 
 		private final StageCall call;
 
@@ -359,10 +362,10 @@
 
 		private EndpointAnswer answer;
 
-		private boolean over;
+		private boolean finished;
 
-		private RunningCall(Lane lane, StageCall call, long startedAtMs) {
-			this.lane = lane;
+		private RunningCall(ServiceQueue queue, StageCall call, long startedAtMs) {
+			this.queue = queue;
 			this.call = call;
 			this.startedAtMs = startedAtMs;
 		}
@@ -393,9 +396,9 @@
 			}
 			else {
 				this.call.endpoint().failed(true, nowMs);
-				repeatAll("status_" + this.answer.status(), true, nowMs);
+				retryAll("status_" + this.answer.status(), true, nowMs);
 			}
-			this.lane.pumpSoon();
+			this.queue.scheduleDispatch();
 		}
 
 		private void refused(long nowMs) {
@@ -405,52 +408,52 @@
 			else {
 				this.call.endpoint().refused(nowMs + FULL_PAUSE_MS);
 			}
-			repeatAll("refused_" + this.answer.status(), true, nowMs);
+			retryAll("refused_" + this.answer.status(), true, nowMs);
 		}
 
 		private void deliver(long nowMs) {
-			List<PieceResult> results;
+			List<WorkItemResult> results;
 			try {
-				results = StageCalls.decode(ByteBufUtil.getBytes(this.body), this.call.pieces().size());
+				results = StageCalls.decode(ByteBufUtil.getBytes(this.body), this.call.items().size());
 			}
 			catch (MalformedRecordException ex) {
 				this.call.endpoint().failed(true, nowMs);
-				repeatAll("malformed", true, nowMs);
+				retryAll("malformed", true, nowMs);
 				return;
 			}
 			this.call.endpoint().succeeded(nowMs - this.startedAtMs, this.call.expectedMs(), nowMs);
-			StageDesk.this.metrics.time("stage_call", nowMs - this.startedAtMs);
+			StageCallDispatcher.this.metrics.time("stage_call", nowMs - this.startedAtMs);
 			for (int i = 0; i < results.size(); i++) {
-				deliver(this.call.pieces().get(i), results.get(i), nowMs);
+				deliver(this.call.items().get(i), results.get(i), nowMs);
 			}
 		}
 
-		private void deliver(Piece piece, PieceResult result, long nowMs) {
+		private void deliver(WorkItem item, WorkItemResult result, long nowMs) {
 			Endpoint endpoint = this.call.endpoint();
 			if (result.failure() == null) {
-				this.lane.former.hold(endpoint, result.handle(), piece.resultBytes(), nowMs);
-				this.lane.finish(piece,
-						PieceOutcome.done(piece.ticket(), result.handle(), endpoint.record().failureDomain()));
+				this.queue.scheduler.recordResult(endpoint, result.handle(), item.resultBytes(), nowMs);
+				this.queue.finish(item,
+						WorkItemOutcome.done(item.itemId(), result.handle(), endpoint.record().failureDomain()));
 				return;
 			}
-			EventLog.request("piece_failed", piece.attemptId())
-				.with("service", this.lane.service)
-				.with("stage", piece.stage())
+			EventLog.request("piece_failed", item.attemptId())
+				.with("service", this.queue.service)
+				.with("stage", item.stage())
 				.with("endpoint", endpoint)
 				.with("reason", result.failure())
 				.write();
-			if (result.failure() == PieceResult.Failure.LATE) {
-				this.lane.finish(piece, PieceOutcome.failed(piece.ticket()));
+			if (result.failure() == WorkItemResult.Failure.LATE) {
+				this.queue.finish(item, WorkItemOutcome.failed(item.itemId()));
 			}
-			else if (result.failure() == PieceResult.Failure.INPUT_GONE) {
-				this.lane.finish(piece, PieceOutcome.inputGone(piece.ticket()));
+			else if (result.failure() == WorkItemResult.Failure.INPUT_GONE) {
+				this.queue.finish(item, WorkItemOutcome.inputGone(item.itemId()));
 			}
-			else if (result.failure() == PieceResult.Failure.NO_ROOM) {
-				this.lane.former.full(endpoint, nowMs);
-				this.lane.waitAgain(piece);
+			else if (result.failure() == WorkItemResult.Failure.NO_ROOM) {
+				this.queue.scheduler.recordOutOfSpace(endpoint, nowMs);
+				this.queue.requeue(item);
 			}
 			else {
-				this.lane.again(piece, true, nowMs);
+				this.queue.retry(item, true, nowMs);
 			}
 		}
 
@@ -458,19 +461,19 @@
 		public void failed(CallFailure failure) {
 			long nowMs = close();
 			this.call.endpoint().failed(true, nowMs);
-			repeatAll(failure.name(), failure.maybeRan(), nowMs);
-			this.lane.pumpSoon();
+			retryAll(failure.name(), failure.mayHaveRun(), nowMs);
+			this.queue.scheduleDispatch();
 		}
 
 		// The endpoint was idle, so its turn came at once: the inputs may go.
 		private void inputsRead() {
-			if (this.over || this.call.endpoint().slowness() > MAX_SLOWNESS_TO_RELY_ON) {
+			if (this.finished || this.call.endpoint().slowdownFactor() > MAX_RELIABLE_SLOWDOWN_FACTOR) {
 				return;
 			}
-			for (Piece piece : this.call.pieces()) {
-				Entry entry = this.lane.entries.get(piece);
-				if (entry != null && !piece.inputs().isEmpty()) {
-					entry.outcome.accept(PieceOutcome.inputsRead(piece.ticket()));
+			for (WorkItem item : this.call.items()) {
+				Entry entry = this.queue.entries.get(item);
+				if (entry != null && !item.inputs().isEmpty()) {
+					entry.outcome.accept(WorkItemOutcome.inputsRead(item.itemId()));
 				}
 			}
 		}
@@ -481,20 +484,20 @@
 		}
 
 		private long close() {
-			this.over = true;
+			this.finished = true;
 			this.timeout.cancel(false);
-			this.lane.former.ended(this.call);
-			return StageDesk.this.clockMs.getAsLong();
+			this.queue.scheduler.ended(this.call);
+			return StageCallDispatcher.this.clockMs.getAsLong();
 		}
 
-		private void repeatAll(String reason, boolean arrived, long nowMs) {
+		private void retryAll(String reason, boolean mayHaveRun, long nowMs) {
 			EventLog.state("stage_call_failed")
-				.with("service", this.lane.service)
+				.with("service", this.queue.service)
 				.with("endpoint", this.call.endpoint())
-				.with("pieces", this.call.pieces().size())
+				.with("pieces", this.call.items().size())
 				.with("reason", reason)
 				.write();
-			this.call.pieces().forEach((piece) -> this.lane.again(piece, arrived, nowMs));
+			this.call.items().forEach((item) -> this.queue.retry(item, mayHaveRun, nowMs));
 		}
 
 	}
--- a/entry/src/main/java/org/fulmargap/entry/stage/StageClient.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageClient.java
@@ -8,78 +8,79 @@
 import java.util.function.Consumer;
 
 import io.netty.channel.EventLoop;
-import org.fulmargap.batch.Piece;
+import org.fulmargap.batch.WorkItem;
 import org.fulmargap.entry.EventLog;
 import org.fulmargap.entry.peer.PeerMessage;
 import org.fulmargap.entry.peer.PeerNetwork;
 
 /**
- * Hands pieces to the entry VM that is in charge of their service: the VM with the
- * highest hash among those that this VM hears. When that VM is lost its pieces go to the
- * next one; two VMs that both believe to be in charge only form smaller calls. Confined
- * to the event loop.
+ * Hands work items to the entry VM that is in charge of their service: the VM with the
+ * highest hash among those that this VM hears. When that VM is lost its work items go to
+ * the next one; two VMs that both believe to be in charge only form smaller calls.
+ * Confined to the event loop.
  */
 public final class StageClient {
 
 	private final EventLoop loop;
 
-	private final StageDesk desk;
+	private final StageCallDispatcher dispatcher;
 
 	private final PeerNetwork peers;
 
 	private final Map<Long, Submission> submissions = new HashMap<>();
 
-	private final Map<PeerTicket, Runnable> withdrawals = new HashMap<>();
+	private final Map<RemoteItem, Runnable> cancellations = new HashMap<>();
 
-	private final Map<PeerService, List<Piece>> outgoing = new LinkedHashMap<>();
+	private final Map<PeerService, List<WorkItem>> outgoing = new LinkedHashMap<>();
 
-	private final Map<String, List<PieceOutcome>> outgoingOutcomes = new LinkedHashMap<>();
+	private final Map<String, List<WorkItemOutcome>> outgoingOutcomes = new LinkedHashMap<>();
 
-	private long lastTicket;
+	private long lastItemId;
 
 	private boolean flushPlanned;
 
 	/**
 	 * Creates a client.
 	 * @param loop the event loop
-	 * @param desk makes the calls that this VM is in charge of
+	 * @param dispatcher makes the calls that this VM is in charge of
 	 * @param peers the other entry VMs
 	 */
-	public StageClient(EventLoop loop, StageDesk desk, PeerNetwork peers) {
+	public StageClient(EventLoop loop, StageCallDispatcher dispatcher, PeerNetwork peers) {
 		this.loop = loop;
-		this.desk = desk;
+		this.dispatcher = dispatcher;
 		this.peers = peers;
 	}
 
 	/**
-	 * Returns the number for the next piece.
+	 * Returns the number for the next work item.
 	 * @return the number
 	 */
-	public long newTicket() {
-		this.lastTicket++;
-		return this.lastTicket;
+	public long newItemId() {
+		this.lastItemId++;
+		return this.lastItemId;
 	}
 
 	/**
-	 * Has a piece done.
+	 * Has a work item done.
 	 * @param service the service of its stage
-	 * @param piece the piece, with a number from {@link #newTicket}
-	 * @param outcome hears what becomes of it, unless it is withdrawn
+	 * @param item the work item, with a number from {@link #newItemId}
+	 * @param outcome hears what becomes of it, unless it is cancelled
 	 */
-	public void submit(String service, Piece piece, Consumer<PieceOutcome> outcome) {
-		Submission submission = new Submission(service, piece, outcome);
-		this.submissions.put(piece.ticket(), submission);
+	public void submit(String service, WorkItem item, Consumer<WorkItemOutcome> outcome) {
+		Submission submission = new Submission(service, item, outcome);
+		this.submissions.put(item.itemId(), submission);
 		dispatch(submission);
 	}
 
 	private void dispatch(Submission submission) {
-		submission.owner = this.peers.inCharge(submission.service);
-		if (submission.owner.equals(this.peers.ownName())) {
-			submission.withdrawal = this.desk.submit(submission.service, submission.piece, this::finished);
+		submission.coordinator = this.peers.coordinatorOf(submission.service);
+		if (submission.coordinator.equals(this.peers.ownName())) {
+			submission.cancellation = this.dispatcher.submit(submission.service, submission.item, this::handleOutcome);
 			return;
 		}
-		this.outgoing.computeIfAbsent(new PeerService(submission.owner, submission.service), (key) -> new ArrayList<>())
-			.add(submission.piece);
+		this.outgoing
+			.computeIfAbsent(new PeerService(submission.coordinator, submission.service), (key) -> new ArrayList<>())
+			.add(submission.item);
 		flushSoon();
 	}
 
@@ -92,36 +93,36 @@
 
 	private void flush() {
 		this.flushPlanned = false;
-		Map<PeerService, List<Piece>> pieces = new LinkedHashMap<>(this.outgoing);
+		Map<PeerService, List<WorkItem>> items = new LinkedHashMap<>(this.outgoing);
 		this.outgoing.clear();
-		pieces.forEach((target, list) -> this.peers.send(target.peer, new PeerMessage.Pieces(target.service, list)));
-		Map<String, List<PieceOutcome>> outcomes = new LinkedHashMap<>(this.outgoingOutcomes);
+		items.forEach((target, list) -> this.peers.send(target.peer, new PeerMessage.WorkItems(target.service, list)));
+		Map<String, List<WorkItemOutcome>> outcomes = new LinkedHashMap<>(this.outgoingOutcomes);
 		this.outgoingOutcomes.clear();
 		outcomes.forEach((peer, list) -> this.peers.send(peer, new PeerMessage.Outcomes(list)));
 	}
 
-	private void finished(PieceOutcome outcome) {
-		Submission submission = (outcome.status().isLast()) ? this.submissions.remove(outcome.ticket())
-				: this.submissions.get(outcome.ticket());
+	private void handleOutcome(WorkItemOutcome outcome) {
+		Submission submission = (outcome.status().isLast()) ? this.submissions.remove(outcome.itemId())
+				: this.submissions.get(outcome.itemId());
 		if (submission != null) {
 			submission.outcome.accept(outcome);
 		}
 	}
 
 	/**
-	 * Withdraws a piece that nobody needs any more.
-	 * @param ticket the number of the piece
+	 * Cancels a work item that nobody needs any more.
+	 * @param itemId the number of the work item
 	 */
-	public void withdraw(long ticket) {
-		Submission submission = this.submissions.remove(ticket);
+	public void cancel(long itemId) {
+		Submission submission = this.submissions.remove(itemId);
 		if (submission == null) {
 			return;
 		}
-		if (submission.withdrawal != null) {
-			submission.withdrawal.run();
+		if (submission.cancellation != null) {
+			submission.cancellation.run();
 		}
 		else {
-			this.peers.send(submission.owner, new PeerMessage.Withdrawal(ticket));
+			this.peers.send(submission.coordinator, new PeerMessage.Cancellation(itemId));
 		}
 	}
 
@@ -140,13 +141,13 @@
 	 * @param service the service of their stage
 	 * @param handles the names of the results
 	 */
-	public void spare(String service, List<String> handles) {
+	public void markEvictable(String service, List<String> handles) {
 		release(new PeerMessage.Release(service, List.copyOf(handles), true));
 	}
 
 	private void release(PeerMessage.Release release) {
-		String owner = this.peers.inCharge(release.service());
-		if (owner.equals(this.peers.ownName()) || !this.peers.send(owner, release)) {
+		String coordinator = this.peers.coordinatorOf(release.service());
+		if (coordinator.equals(this.peers.ownName()) || !this.peers.send(coordinator, release)) {
 			receive(release);
 		}
 	}
@@ -156,42 +157,42 @@
 	 * @param release the results
 	 */
 	public void receive(PeerMessage.Release release) {
-		if (release.spare()) {
-			this.desk.spare(release.service(), release.handles());
+		if (release.evictable()) {
+			this.dispatcher.markEvictable(release.service(), release.handles());
 		}
 		else {
-			this.desk.release(release.handles());
+			this.dispatcher.release(release.handles());
 		}
 	}
 
 	/**
-	 * Takes pieces of a peer.
+	 * Takes work items of a peer.
 	 * @param peer the name of the peer
-	 * @param message the pieces
+	 * @param message the work items
 	 */
-	public void receive(String peer, PeerMessage.Pieces message) {
-		for (Piece piece : message.pieces()) {
-			PeerTicket key = new PeerTicket(peer, piece.ticket());
-			Runnable withdrawal = this.desk.submit(message.service(), piece, (outcome) -> {
+	public void receive(String peer, PeerMessage.WorkItems message) {
+		for (WorkItem item : message.items()) {
+			RemoteItem key = new RemoteItem(peer, item.itemId());
+			Runnable cancellation = this.dispatcher.submit(message.service(), item, (outcome) -> {
 				if (outcome.status().isLast()) {
-					this.withdrawals.remove(key);
+					this.cancellations.remove(key);
 				}
 				this.outgoingOutcomes.computeIfAbsent(peer, (name) -> new ArrayList<>()).add(outcome);
 				flushSoon();
 			});
-			this.withdrawals.put(key, withdrawal);
+			this.cancellations.put(key, cancellation);
 		}
 	}
 
 	/**
-	 * Takes the withdrawal of a peer's piece.
+	 * Takes the cancellation of a peer's work item.
 	 * @param peer the name of the peer
-	 * @param message the withdrawal
+	 * @param message the cancellation
 	 */
-	public void receive(String peer, PeerMessage.Withdrawal message) {
-		Runnable withdrawal = this.withdrawals.remove(new PeerTicket(peer, message.ticket()));
-		if (withdrawal != null) {
-			withdrawal.run();
+	public void receive(String peer, PeerMessage.Cancellation message) {
+		Runnable cancellation = this.cancellations.remove(new RemoteItem(peer, message.itemId()));
+		if (cancellation != null) {
+			cancellation.run();
 		}
 	}
 
@@ -201,50 +202,50 @@
 	 * @param message the results
 	 */
 	public void receive(PeerMessage.Outcomes message) {
-		for (PieceOutcome outcome : message.outcomes()) {
-			finished(outcome);
+		for (WorkItemOutcome outcome : message.outcomes()) {
+			handleOutcome(outcome);
 		}
 	}
 
 	/**
-	 * Hands the pieces of a lost peer to the VM that is in charge now, and drops the
-	 * pieces that came from it.
+	 * Hands the work items of a lost peer to the VM that is in charge now, and drops the
+	 * work items that came from it.
 	 * @param peer the name of the peer
 	 */
 	public void peerLost(String peer) {
 		List<Submission> lost = this.submissions.values()
 			.stream()
-			.filter((submission) -> peer.equals(submission.owner))
+			.filter((submission) -> peer.equals(submission.coordinator))
 			.toList();
 		if (!lost.isEmpty()) {
 			EventLog.state("pieces_moved").with("peer", peer).with("pieces", lost.size()).write();
 		}
 		lost.forEach(this::dispatch);
-		List<PeerTicket> orphans = this.withdrawals.keySet().stream().filter((key) -> key.peer.equals(peer)).toList();
-		orphans.forEach((key) -> this.withdrawals.remove(key).run());
+		List<RemoteItem> orphans = this.cancellations.keySet().stream().filter((key) -> key.peer.equals(peer)).toList();
+		orphans.forEach((key) -> this.cancellations.remove(key).run());
 	}
 
 	private static final class Submission {
 
 		private final String service;
 
-		private final Piece piece;
+		private final WorkItem item;
 
-		private final Consumer<PieceOutcome> outcome;
+		private final Consumer<WorkItemOutcome> outcome;
 
-		private String owner;
+		private String coordinator;
 
-		private Runnable withdrawal;
+		private Runnable cancellation;
 
-		private Submission(String service, Piece piece, Consumer<PieceOutcome> outcome) {
+		private Submission(String service, WorkItem item, Consumer<WorkItemOutcome> outcome) {
 			this.service = service;
-			this.piece = piece;
+			this.item = item;
 			this.outcome = outcome;
 		}
 
 	}
 
-	private record PeerTicket(String peer, long ticket) {
+	private record RemoteItem(String peer, long itemId) {
 	}
 
 	private record PeerService(String peer, String service) {
--- a/entry/src/test/java/org/fulmargap/entry/peer/PeerCodecTests.java
+++ b/entry/src/test/java/org/fulmargap/entry/peer/PeerCodecTests.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 
-import org.fulmargap.batch.Piece;
-import org.fulmargap.entry.stage.PieceOutcome;
+import org.fulmargap.batch.WorkItem;
+import org.fulmargap.entry.stage.WorkItemOutcome;
 import org.fulmargap.placement.Prompt;
 import org.fulmargap.placement.PromptPart;
 import org.fulmargap.platform.KeyedRecord;
@@ -24,34 +24,34 @@
 	@Test
 	void messagesArriveAsTheyWereSent() throws IOException {
 		List<PeerMessage> messages = List.of(new PeerMessage.Hello("vm-1", 5, "10.0.0.1:7"),
-				new PeerMessage.RecordsWanted(StoreTopic.ENDPOINTS, -1),
+				new PeerMessage.RecordsRequest(StoreTopic.ENDPOINTS, -1),
 				new PeerMessage.PromptSent("engine", new Prompt(10, 2, List.of(new PromptPart("aa", 6)))),
-				new PeerMessage.Outcomes(List.of(PieceOutcome.done(3, "handle", "a"), PieceOutcome.failed(4))),
-				new PeerMessage.Withdrawal(8), new PeerMessage.Release("stage", List.of("h1", "h2"), true),
-				new PeerMessage.Strike("print", "engine"));
+				new PeerMessage.Outcomes(List.of(WorkItemOutcome.done(3, "handle", "a"), WorkItemOutcome.failed(4))),
+				new PeerMessage.Cancellation(8), new PeerMessage.Release("stage", List.of("h1", "h2"), true),
+				new PeerMessage.CrashReport("print", "engine"));
 		for (PeerMessage message : messages) {
 			assertThat(PeerCodec.decode(PeerCodec.encode(message, 7), 7)).isEqualTo(message);
 		}
 	}
 
 	@Test
-	void aHeartbeatCarriesLoadsAndCommittedPieces() throws IOException {
+	void aHeartbeatCarriesLoadsAndAdmittedItems() throws IOException {
 		PeerMessage.Heartbeat sent = new PeerMessage.Heartbeat(true, false, List.of(new PeerMessage.Load("e", 2, 900)),
 				Map.of("stage", new int[] { 1, 0, 2, 0 }), Map.of("stage", 2.5), List.of(4L, -1L));
 		PeerMessage.Heartbeat received = (PeerMessage.Heartbeat) PeerCodec.decode(PeerCodec.encode(sent, 0), 0);
 		assertThat(received.loads()).isEqualTo(sent.loads());
-		assertThat(received.workingEndpoints()).isEqualTo(sent.workingEndpoints());
+		assertThat(received.availableEndpoints()).isEqualTo(sent.availableEndpoints());
 		assertThat(received.draining()).isTrue();
-		assertThat(received.hearsReceiver()).isFalse();
+		assertThat(received.receiverHeard()).isFalse();
 		assertThat(received.nextOffsets()).containsExactly(4L, -1L);
-		assertThat(received.committedPieces().get("stage")).containsExactly(1, 0, 2, 0);
+		assertThat(received.admittedItems().get("stage")).containsExactly(1, 0, 2, 0);
 	}
 
 	@Test
 	void recordsOfTheStoreAreRelayed() throws IOException {
 		StorePage page = new StorePage(List.of(new KeyedRecord("config", new byte[] { 1, 2 }, 6)), 7, true);
-		PeerMessage.Records received = (PeerMessage.Records) PeerCodec
-			.decode(PeerCodec.encode(new PeerMessage.Records(StoreTopic.OPERATOR, page), 0), 0);
+		PeerMessage.RecordsReply received = (PeerMessage.RecordsReply) PeerCodec
+			.decode(PeerCodec.encode(new PeerMessage.RecordsReply(StoreTopic.OPERATOR, page), 0), 0);
 		assertThat(received.topic()).isEqualTo(StoreTopic.OPERATOR);
 		assertThat(received.page().nextOffset()).isEqualTo(7);
 		assertThat(received.page().isComplete()).isTrue();
@@ -60,11 +60,11 @@
 
 	@Test
 	void timesAreMovedIntoTheClockOfTheReceiver() throws IOException {
-		Piece piece = new Piece(1, "id", 0, 2, "", List.of("h"), "a", 1, 1_500, 3_000, 60);
-		PeerMessage.Pieces received = (PeerMessage.Pieces) PeerCodec
-			.decode(PeerCodec.encode(new PeerMessage.Pieces("stage", List.of(piece)), 1_000), 51_000);
-		assertThat(received.pieces())
-			.containsExactly(new Piece(1, "id", 0, 2, "", List.of("h"), "a", 1, 51_500, 53_000, 60));
+		WorkItem item = new WorkItem(1, "id", 0, 2, "", List.of("h"), "a", 1, 1_500, 3_000, 60);
+		PeerMessage.WorkItems received = (PeerMessage.WorkItems) PeerCodec
+			.decode(PeerCodec.encode(new PeerMessage.WorkItems("stage", List.of(item)), 1_000), 51_000);
+		assertThat(received.items())
+			.containsExactly(new WorkItem(1, "id", 0, 2, "", List.of("h"), "a", 1, 51_500, 53_000, 60));
 	}
 
 	@Test
