--- a/bench/src/main/java/org/fulmargap/bench/PolicyVm.java
+++ b/bench/src/main/java/org/fulmargap/bench/PolicyVm.java
@@ -75,7 +75,7 @@
 
 	void heartbeat(PolicyVm peer) {
 		peer.router.mergeWarmUpStarts(this.router.warmUpStarts(), this.clock.nowMs());
-		peer.quarantine.mergeStrikes(this.quarantine.strikes(this.clock.nowMs()), this.clock.nowMs());
+		peer.quarantine.mergeCrashReports(this.quarantine.crashReports(this.clock.nowMs()), this.clock.nowMs());
 	}
 
 	/**
@@ -102,8 +102,8 @@
 	private void crashSeen(String endpoint) {
 		Map<String, List<String>> strikes = this.quarantine.confirmCrash(endpoint, this.clock.nowMs());
 		if (!strikes.isEmpty()) {
-			this.clock.after(1,
-					() -> this.world.policyVms((peer) -> peer.quarantine.mergeStrikes(strikes, this.clock.nowMs())));
+			this.clock.after(1, () -> this.world
+				.policyVms((peer) -> peer.quarantine.mergeCrashReports(strikes, this.clock.nowMs())));
 		}
 	}
 
@@ -163,10 +163,10 @@
 			return Optional.empty();
 		}
 		if (flow.attempts == 0) {
-			this.retryBudget.firstAttempt(flow.service());
+			this.retryBudget.recordFirstAttempt(flow.service());
 		}
 		Set<String> excluded = new HashSet<>(flow.excluded);
-		excluded.addAll(this.quarantine.struckEndpoints(fingerprint, nowMs));
+		excluded.addAll(this.quarantine.suspectedEndpoints(fingerprint, nowMs));
 		boolean prompt = flow.service().equals("generate");
 		return this.router.select(
 				new RouteRequest(flow.service(), (prompt) ? flow.request.prefix() : "",
--- a/core/src/main/java/org/fulmargap/admission/RetryBudget.java
+++ b/core/src/main/java/org/fulmargap/admission/RetryBudget.java
@@ -21,7 +21,7 @@
 	 * Records a first attempt, which earns a tenth of a retry.
 	 * @param service the service
 	 */
-	public void firstAttempt(String service) {
+	public void recordFirstAttempt(String service) {
 		this.tenths.merge(service, MAX_TENTHS, (stored, start) -> Math.min(MAX_TENTHS, stored + 1));
 	}
 
--- a/core/src/main/java/org/fulmargap/routing/CallFailure.java
+++ b/core/src/main/java/org/fulmargap/routing/CallFailure.java
@@ -36,11 +36,11 @@
 
 	private final DispatchState dispatchState;
 
-	private final boolean blamesEndpoint;
+	private final boolean countsAgainstEndpoint;
 
-	CallFailure(DispatchState dispatchState, boolean blamesEndpoint) {
+	CallFailure(DispatchState dispatchState, boolean countsAgainstEndpoint) {
 		this.dispatchState = dispatchState;
-		this.blamesEndpoint = blamesEndpoint;
+		this.countsAgainstEndpoint = countsAgainstEndpoint;
 	}
 
 	/**
@@ -55,8 +55,8 @@
 	 * Tells whether the failure counts against the health of the endpoint.
 	 * @return {@code true} if the endpoint should get less work
 	 */
-	public boolean blamesEndpoint() {
-		return this.blamesEndpoint;
+	public boolean countsAgainstEndpoint() {
+		return this.countsAgainstEndpoint;
 	}
 
 }
--- a/core/src/main/java/org/fulmargap/routing/ConnectionLiveness.java
+++ b/core/src/main/java/org/fulmargap/routing/ConnectionLiveness.java
@@ -10,7 +10,7 @@
 public final class ConnectionLiveness {
 
 	/** The time in milliseconds within which an endpoint must answer a probe. */
-	public static final long PROBE_LIMIT_MS = 150;
+	public static final long PROBE_TIMEOUT_MS = 150;
 
 	private ConnectionLiveness() {
 	}
@@ -68,7 +68,7 @@
 		 * @return the result
 		 */
 		public static Probe of(boolean answered, long elapsedMs) {
-			if (elapsedMs > PROBE_LIMIT_MS) {
+			if (elapsedMs > PROBE_TIMEOUT_MS) {
 				return NO_ANSWER;
 			}
 			return (answered) ? ANSWERED : PENDING;
--- a/core/src/main/java/org/fulmargap/routing/CrashQuarantine.java
+++ b/core/src/main/java/org/fulmargap/routing/CrashQuarantine.java
@@ -26,11 +26,11 @@
 	 */
 	static final long SUSPICION_MS = 5_000;
 
-	private static final int STRIKES_TO_QUARANTINE = 2;
+	private static final int CRASHES_TO_QUARANTINE = 2;
 
 	private final int maxFingerprints;
 
-	private final int strikesToQuarantine;
+	private final int crashesToQuarantine;
 
 	private final LinkedHashMap<String, Entry> entries = new LinkedHashMap<>();
 
@@ -42,26 +42,26 @@
 	 * dropped first
 	 */
 	public CrashQuarantine(int maxFingerprints) {
-		this(maxFingerprints, STRIKES_TO_QUARANTINE);
+		this(maxFingerprints, CRASHES_TO_QUARANTINE);
 	}
 
 	/**
 	 * Creates a quarantine without strikes.
 	 * @param maxFingerprints the highest number of fingerprints kept; the oldest are
 	 * dropped first
-	 * @param strikesToQuarantine the endpoints that must crash before a fingerprint is
+	 * @param crashesToQuarantine the endpoints that must crash before a fingerprint is
 	 * refused: more where many requests are alike, so that an outage of several endpoints
 	 * isn't taken for the fault of such a request
 	 */
-	public CrashQuarantine(int maxFingerprints, int strikesToQuarantine) {
+	public CrashQuarantine(int maxFingerprints, int crashesToQuarantine) {
 		if (maxFingerprints < 1) {
 			throw new IllegalArgumentException("maxFingerprints must be at least 1: " + maxFingerprints);
 		}
-		if (strikesToQuarantine < 1) {
-			throw new IllegalArgumentException("strikesToQuarantine must be at least 1: " + strikesToQuarantine);
+		if (crashesToQuarantine < 1) {
+			throw new IllegalArgumentException("crashesToQuarantine must be at least 1: " + crashesToQuarantine);
 		}
 		this.maxFingerprints = maxFingerprints;
-		this.strikesToQuarantine = strikesToQuarantine;
+		this.crashesToQuarantine = crashesToQuarantine;
 	}
 
 	/**
@@ -73,7 +73,7 @@
 	public synchronized Verdict verdict(String fingerprint, long nowMs) {
 		expire(nowMs);
 		Entry entry = this.entries.get(fingerprint);
-		if (entry != null && entry.endpoints.size() >= this.strikesToQuarantine) {
+		if (entry != null && entry.endpoints.size() >= this.crashesToQuarantine) {
 			return Verdict.QUARANTINED;
 		}
 		if (entry != null || isSuspected(fingerprint)) {
@@ -88,7 +88,7 @@
 	 * @param nowMs the present time in milliseconds since the epoch
 	 * @return the names of the endpoints that crashed, or may have crashed, with it
 	 */
-	public synchronized Set<String> struckEndpoints(String fingerprint, long nowMs) {
+	public synchronized Set<String> suspectedEndpoints(String fingerprint, long nowMs) {
 		expire(nowMs);
 		Set<String> endpoints = new TreeSet<>();
 		Entry entry = this.entries.get(fingerprint);
@@ -162,7 +162,7 @@
 	 */
 	public synchronized void completed(String fingerprint) {
 		Entry entry = this.entries.get(fingerprint);
-		if (entry != null && entry.endpoints.size() < this.strikesToQuarantine) {
+		if (entry != null && entry.endpoints.size() < this.crashesToQuarantine) {
 			this.entries.remove(fingerprint);
 		}
 		if (!this.suspicions.isEmpty()) {
@@ -177,7 +177,7 @@
 	 * @param nowMs the present time in milliseconds since the epoch
 	 * @return endpoints by fingerprint
 	 */
-	public synchronized Map<String, List<String>> strikes(long nowMs) {
+	public synchronized Map<String, List<String>> crashReports(long nowMs) {
 		expire(nowMs);
 		Map<String, List<String>> strikes = new HashMap<>();
 		this.entries.forEach((fingerprint, entry) -> {
@@ -198,7 +198,7 @@
 	 * @param strikes endpoints by fingerprint
 	 * @param nowMs the present time in milliseconds since the epoch
 	 */
-	public synchronized void mergeStrikes(Map<String, List<String>> strikes, long nowMs) {
+	public synchronized void mergeCrashReports(Map<String, List<String>> strikes, long nowMs) {
 		expire(nowMs);
 		strikes.forEach((fingerprint, endpoints) -> endpoints
 			.forEach((endpoint) -> strike(fingerprint, endpoint, false, nowMs)));
@@ -211,11 +211,11 @@
 			this.entries.put(fingerprint, entry);
 			trim(this.entries, this.maxFingerprints);
 		}
-		if (entry.endpoints.size() >= this.strikesToQuarantine) {
+		if (entry.endpoints.size() >= this.crashesToQuarantine) {
 			return false;
 		}
 		boolean isNew = entry.endpoints.putIfAbsent(endpoint, own) == null;
-		if (isNew && entry.endpoints.size() == this.strikesToQuarantine) {
+		if (isNew && entry.endpoints.size() == this.crashesToQuarantine) {
 			// The quarantine lasts its full time from the last strike, and the map stays
 			// in the order of expiry.
 			Entry quarantined = new Entry(nowMs);
--- a/core/src/main/java/org/fulmargap/routing/EndpointState.java
+++ b/core/src/main/java/org/fulmargap/routing/EndpointState.java
@@ -282,7 +282,7 @@
 			this.leavingUntilMs = nowMs + LEAVING_MS;
 			return;
 		}
-		if (!failure.blamesEndpoint()) {
+		if (!failure.countsAgainstEndpoint()) {
 			return;
 		}
 		if (failure == CallFailure.TIMED_OUT) {
--- a/core/src/test/java/org/fulmargap/admission/RetryBudgetTests.java
+++ b/core/src/test/java/org/fulmargap/admission/RetryBudgetTests.java
@@ -25,7 +25,7 @@
 			RetryBudget budget = new RetryBudget();
 			int retries = 0;
 			for (int i = 0; i < 1_000; i++) {
-				budget.firstAttempt("generate");
+				budget.recordFirstAttempt("generate");
 				retries += budget.tryRetry("generate", 1) ? 1 : 0;
 			}
 			assertThat(retries).isBetween(100, 110);
@@ -35,7 +35,7 @@
 		void storesNoMoreThanTenRetries() {
 			RetryBudget budget = new RetryBudget();
 			for (int i = 0; i < 1_000; i++) {
-				budget.firstAttempt("generate");
+				budget.recordFirstAttempt("generate");
 			}
 			for (int i = 0; i < 10; i++) {
 				assertThat(budget.tryRetry("generate", 1)).isTrue();
--- a/core/src/test/java/org/fulmargap/routing/CrashQuarantineProperties.java
+++ b/core/src/test/java/org/fulmargap/routing/CrashQuarantineProperties.java
@@ -41,7 +41,7 @@
 			}
 			String endpoint = "model-" + random.nextInt(8);
 			boolean isIsolated = verdict == Verdict.ISOLATED;
-			if (vm.struckEndpoints(request, nowMs).contains(endpoint)
+			if (vm.suspectedEndpoints(request, nowMs).contains(endpoint)
 					|| (isIsolated && isolated.getOrDefault(endpoint, false))) {
 				continue;
 			}
@@ -52,7 +52,7 @@
 				// Peers hear of the strikes before the request arrives there again.
 				Map<String, List<String>> strikes = vm.recordCrash(endpoint, running.remove(endpoint), nowMs);
 				isolated.remove(endpoint);
-				vms.forEach((peer) -> peer.mergeStrikes(strikes, nowMs));
+				vms.forEach((peer) -> peer.mergeCrashReports(strikes, nowMs));
 			}
 			else if (random.nextInt(3) > 0) {
 				running.get(endpoint).forEach((done) -> vms.forEach((peer) -> peer.completed(done)));
@@ -77,7 +77,7 @@
 			this.quarantine.recordCrash("m1", List.of("f"), 0);
 			this.quarantine.recordCrash("m1", List.of("f"), 1_000);
 			assertThat(this.quarantine.verdict("f", 1_000)).isEqualTo(Verdict.ISOLATED);
-			assertThat(this.quarantine.struckEndpoints("f", 1_000)).containsExactly("m1");
+			assertThat(this.quarantine.suspectedEndpoints("f", 1_000)).containsExactly("m1");
 		}
 
 		@Test
@@ -113,8 +113,8 @@
 			CrashQuarantine peer = new CrashQuarantine(100);
 			this.quarantine.recordCrash("m1", List.of("f"), 0);
 			for (long nowMs = 500; nowMs < 2 * CrashQuarantine.LIFETIME_MS; nowMs += 500) {
-				peer.mergeStrikes(this.quarantine.strikes(nowMs), nowMs);
-				this.quarantine.mergeStrikes(peer.strikes(nowMs), nowMs);
+				peer.mergeCrashReports(this.quarantine.crashReports(nowMs), nowMs);
+				this.quarantine.mergeCrashReports(peer.crashReports(nowMs), nowMs);
 			}
 			assertThat(this.quarantine.verdict("f", 2 * CrashQuarantine.LIFETIME_MS)).isEqualTo(Verdict.ALLOWED);
 			assertThat(peer.verdict("f", 2 * CrashQuarantine.LIFETIME_MS)).isEqualTo(Verdict.ALLOWED);
@@ -126,7 +126,7 @@
 				this.quarantine.recordCrash("m1", List.of("f" + i), i);
 				this.quarantine.connectionLost("m2", "g" + i, i);
 			}
-			Set<String> kept = new HashSet<>(this.quarantine.strikes(1_000).keySet());
+			Set<String> kept = new HashSet<>(this.quarantine.crashReports(1_000).keySet());
 			assertThat(kept).hasSize(100).contains("f999").doesNotContain("f0");
 			assertThat(this.quarantine.confirmCrash("m2", 1_000)).hasSize(100);
 		}
--- a/entry/src/main/java/org/fulmargap/entry/EntryVm.java
+++ b/entry/src/main/java/org/fulmargap/entry/EntryVm.java
@@ -198,7 +198,7 @@
 			this.watch.received(records);
 		}
 		else if (message instanceof PeerMessage.Strike strike) {
-			this.quarantine.mergeStrikes(Map.of(strike.fingerprint(), List.of(strike.endpoint())), nowMs);
+			this.quarantine.mergeCrashReports(Map.of(strike.fingerprint(), List.of(strike.endpoint())), nowMs);
 			EventLog.state("strike_heard")
 				.with("peer", peer)
 				.with("endpoint", strike.endpoint())
--- a/server/src/main/java/org/fulmargap/pipeline/EndpointWatch.java
+++ b/server/src/main/java/org/fulmargap/pipeline/EndpointWatch.java
@@ -131,7 +131,7 @@
 	}
 
 	Set<String> struckEndpoints(String fingerprint) {
-		return this.quarantine.struckEndpoints(fingerprint, this.clock.getAsLong());
+		return this.quarantine.suspectedEndpoints(fingerprint, this.clock.getAsLong());
 	}
 
 }
--- a/server/src/main/java/org/fulmargap/pipeline/StageRunner.java
+++ b/server/src/main/java/org/fulmargap/pipeline/StageRunner.java
@@ -113,7 +113,7 @@
 		StageResult run() throws FulmargapException {
 			long startMs = StageRunner.this.clock.getAsLong();
 			Deadline deadline = stageDeadline(startMs);
-			StageRunner.this.retries.firstAttempt(this.stage.service());
+			StageRunner.this.retries.recordFirstAttempt(this.stage.service());
 			for (int attempt = 0;; attempt++) {
 				try (Reservation reservation = reserve(deadline)) {
 					StageAnswer answer = attempt(reservation, attempt, deadline);
--- a/server/src/main/java/org/fulmargap/server/PeerAnswers.java
+++ b/server/src/main/java/org/fulmargap/server/PeerAnswers.java
@@ -48,7 +48,7 @@
 
 	@Override
 	public void mergeStrikes(Map<String, List<String>> strikes) {
-		this.quarantine.mergeStrikes(strikes, this.clock.getAsLong());
+		this.quarantine.mergeCrashReports(strikes, this.clock.getAsLong());
 	}
 
 	@Override
