--- a/bench/src/main/java/org/fulmargap/bench/capacity/StateKind.java
+++ b/bench/src/main/java/org/fulmargap/bench/capacity/StateKind.java
@@ -76,7 +76,7 @@
 			}
 			double micros = Meter.micros((i) -> {
 				Heartbeat heartbeat = read(frames[i % size]);
-				view.object().heartbeat(heartbeat, NOW_MS + i);
+				view.object().receiveHeartbeat(heartbeat, NOW_MS + i);
 			}, 2_000);
 			return new Cost(view.bytes(), micros, frames[0].length);
 		}
@@ -245,7 +245,7 @@
 		MembershipView view = new MembershipView(hello(0), MembershipLimits.DEFAULTS, NOW_MS);
 		Map<String, Incarnation> joined = new TreeMap<>();
 		for (int i = 1; i < size; i++) {
-			view.hello(hello(i), NOW_MS);
+			view.receiveHello(hello(i), NOW_MS);
 			joined.put("vm-" + i, hello(i).incarnation());
 		}
 		view.setJoined(joined, NOW_MS);
--- a/core/src/main/java/org/fulmargap/claim/ClaimLedger.java
+++ b/core/src/main/java/org/fulmargap/claim/ClaimLedger.java
@@ -100,11 +100,11 @@
 	 * @param nowMs the present time in milliseconds since the epoch
 	 * @return the keys whose claims may have changed and what was noticed
 	 */
-	public Applied apply(long offset, long appendedAtMs, JsonNode value, long nowMs) {
+	public ApplyResult apply(long offset, long appendedAtMs, JsonNode value, long nowMs) {
 		Set<ClaimKey> changed = new HashSet<>();
 		List<ClaimEvent> events = new ArrayList<>();
 		if (offset < this.nextOffset) {
-			return new Applied(changed, events);
+			return new ApplyResult(changed, events);
 		}
 		if (offset > this.nextOffset) {
 			events.add(new ClaimEvent(ClaimEvent.Type.GAP, offset, "expected offset " + this.nextOffset));
@@ -126,7 +126,7 @@
 		catch (JsonProcessingException ex) {
 			events.add(new ClaimEvent(ClaimEvent.Type.UNREADABLE, offset, ex.getOriginalMessage()));
 		}
-		return new Applied(changed, events);
+		return new ApplyResult(changed, events);
 	}
 
 	/**
@@ -383,7 +383,7 @@
 	 * @param changed the keys whose claims may have changed
 	 * @param events what was noticed
 	 */
-	public record Applied(Set<ClaimKey> changed, List<ClaimEvent> events) {
+	public record ApplyResult(Set<ClaimKey> changed, List<ClaimEvent> events) {
 	}
 
 }
--- a/core/src/main/java/org/fulmargap/config/ConfigLedger.java
+++ b/core/src/main/java/org/fulmargap/config/ConfigLedger.java
@@ -124,7 +124,7 @@
 		long version = state().version();
 		boolean newer = copy.state().version() > version
 				|| (copy.state().version() == version && (!this.following || copy.through() > this.nextOffset));
-		if (!isValid(copy) || (isKnown() && !newer)) {
+		if (!isValid(copy) || (hasState() && !newer)) {
 			return false;
 		}
 		this.buffer.clear();
@@ -183,7 +183,7 @@
 	 * Tells whether a state has been established from the stream or a peer.
 	 * @return {@code true} if {@link #state()} is the state of some offset
 	 */
-	public boolean isKnown() {
+	public boolean hasState() {
 		return this.following || this.held != null;
 	}
 
--- a/core/src/main/java/org/fulmargap/config/ConfigRules.java
+++ b/core/src/main/java/org/fulmargap/config/ConfigRules.java
@@ -80,7 +80,8 @@
 	}
 
 	private static Step ack(ConfigState state, long offset, ConfigRecord.Ack ack) {
-		if (!isPending(state, ack.patchId()) || !state.pending().orElseThrow().waitsFor(ack.vm(), ack.incarnation())) {
+		if (!isPending(state, ack.patchId())
+				|| !state.pending().orElseThrow().needsAckFrom(ack.vm(), ack.incarnation())) {
 			return ignored(state, offset, "acknowledgement of patch " + ack.patchId() + " by " + ack.incarnation());
 		}
 		return new Step(state.withPending(state.pending().orElseThrow().withAck(ack.vm())), List.of());
@@ -91,9 +92,9 @@
 			return ignored(state, offset, "commit of patch " + commit.patchId());
 		}
 		PendingPatch pending = state.pending().orElseThrow();
-		if (!pending.missing().isEmpty()) {
+		if (!pending.missingAcks().isEmpty()) {
 			return new Step(state, List.of(new ConfigEvent(ConfigEvent.Type.UNACKNOWLEDGED_COMMIT, offset,
-					"patch " + commit.patchId() + " is not acknowledged by " + pending.missing())));
+					"patch " + commit.patchId() + " is not acknowledged by " + pending.missingAcks())));
 		}
 		ConfigState next = state.committed(pending);
 		return new Step(next, List.of(new ConfigEvent(ConfigEvent.Type.COMMITTED, offset,
@@ -105,7 +106,7 @@
 			return ignored(state, offset, "abort of patch " + abort.patchId());
 		}
 		PendingPatch pending = state.pending().orElseThrow();
-		String message = abort.reason() + "; not acknowledged by " + pending.missing();
+		String message = abort.reason() + "; not acknowledged by " + pending.missingAcks();
 		return new Step(state.refused(abort.patchId(), PatchRejection.NOT_ACKNOWLEDGED, message, null),
 				List.of(new ConfigEvent(ConfigEvent.Type.REFUSED, offset,
 						"patch " + abort.patchId() + " " + PatchRejection.NOT_ACKNOWLEDGED)));
--- a/core/src/main/java/org/fulmargap/config/EndpointSpec.java
+++ b/core/src/main/java/org/fulmargap/config/EndpointSpec.java
@@ -51,7 +51,7 @@
 		 * Tells whether the endpoint itself rejects orders of a former lease holder.
 		 * @return {@code true} if old fencing numbers are refused
 		 */
-		public boolean rejectsOldNumbers() {
+		public boolean rejectsStaleTokens() {
 			return this == CHECKED;
 		}
 
--- a/core/src/main/java/org/fulmargap/config/PendingPatch.java
+++ b/core/src/main/java/org/fulmargap/config/PendingPatch.java
@@ -40,7 +40,7 @@
 	 * Returns the members whose acknowledgement is missing.
 	 * @return the names in order
 	 */
-	public Set<String> missing() {
+	public Set<String> missingAcks() {
 		Set<String> missing = new TreeSet<>(this.required.keySet());
 		missing.removeAll(this.acknowledged);
 		return missing;
@@ -52,7 +52,7 @@
 	 * @param incarnation the incarnation
 	 * @return {@code true} if the patch waits for it
 	 */
-	public boolean waitsFor(String vm, String incarnation) {
+	public boolean needsAckFrom(String vm, String incarnation) {
 		return incarnation.equals(this.required.get(vm)) && !this.acknowledged.contains(vm);
 	}
 
--- a/core/src/main/java/org/fulmargap/membership/Incarnation.java
+++ b/core/src/main/java/org/fulmargap/membership/Incarnation.java
@@ -47,7 +47,7 @@
 	 * @param text the text
 	 * @return the incarnation, or empty if the text has another form
 	 */
-	public static Optional<Incarnation> find(String text) {
+	public static Optional<Incarnation> tryParse(String text) {
 		try {
 			return Optional.of(parse(text));
 		}
--- a/core/src/main/java/org/fulmargap/membership/Member.java
+++ b/core/src/main/java/org/fulmargap/membership/MemberStatus.java
@@ -9,13 +9,13 @@
  * @param joined whether the configuration stream lists the VM as a member
  * @param alive whether the VM was heard recently
  * @param leaving whether the VM is shutting down
- * @param lastHeardMs when the VM was last heard, milliseconds since the epoch; zero if
+ * @param lastContactMs when the VM was last heard, milliseconds since the epoch; zero if
  * never
  * @param configVersion the configuration version that the VM reported last
  * @param inFlight the number of requests that the VM reported last
  */
-public record Member(Incarnation incarnation, String failureDomain, String peerAddress, boolean joined, boolean alive,
-		boolean leaving, long lastHeardMs, long configVersion, int inFlight) {
+public record MemberStatus(Incarnation incarnation, String failureDomain, String peerAddress, boolean joined,
+		boolean alive, boolean leaving, long lastContactMs, long configVersion, int inFlight) {
 
 	/**
 	 * Returns the name of the entry VM.
--- a/core/src/main/java/org/fulmargap/membership/MembershipView.java
+++ b/core/src/main/java/org/fulmargap/membership/MembershipView.java
@@ -92,7 +92,7 @@
 	public synchronized void setJoined(Collection<org.fulmargap.config.Member> members, long nowMs) {
 		Map<String, Incarnation> incarnations = new TreeMap<>();
 		for (org.fulmargap.config.Member member : members) {
-			Incarnation.find(member.incarnation())
+			Incarnation.tryParse(member.incarnation())
 				.filter((incarnation) -> incarnation.vm().equals(member.vm()))
 				.ifPresent((incarnation) -> incarnations.put(member.vm(), incarnation));
 		}
@@ -112,7 +112,7 @@
 	 * @return {@code false} if the sender is an older incarnation than the known one, or
 	 * uses the name of this VM; the message then has no effect
 	 */
-	public synchronized boolean hello(Hello hello, long nowMs) {
+	public synchronized boolean receiveHello(Hello hello, long nowMs) {
 		if (isSelf(hello.vm())) {
 			return false;
 		}
@@ -136,7 +136,7 @@
 	 * @return {@code false} if the sender is not the known incarnation of its VM; the
 	 * message then has no effect
 	 */
-	public synchronized boolean heartbeat(Heartbeat heartbeat, long nowMs) {
+	public synchronized boolean receiveHeartbeat(Heartbeat heartbeat, long nowMs) {
 		Peer peer = this.peers.get(heartbeat.incarnation().vm());
 		if (peer == null || !peer.incarnation.equals(heartbeat.incarnation())) {
 			return false;
@@ -153,14 +153,14 @@
 	 * Records that the log answered.
 	 * @param nowMs the present time in milliseconds since the epoch
 	 */
-	public synchronized void logContact(long nowMs) {
+	public synchronized void recordLogContact(long nowMs) {
 		this.lastLogMs = Math.max(this.lastLogMs, nowMs);
 	}
 
 	/**
 	 * Records that this entry VM is shutting down.
 	 */
-	public synchronized void leave() {
+	public synchronized void markLeaving() {
 		this.selfLeaving = true;
 	}
 
@@ -170,7 +170,7 @@
 	 * @param configVersion the configuration version in force
 	 * @param inFlight the number of running requests
 	 */
-	public synchronized void selfStatus(boolean leaving, long configVersion, int inFlight) {
+	public synchronized void updateSelfStatus(boolean leaving, long configVersion, int inFlight) {
 		this.selfLeaving |= leaving;
 		this.selfConfigVersion = configVersion;
 		this.selfInFlight = inFlight;
@@ -228,18 +228,18 @@
 	 * @param nowMs the present time in milliseconds since the epoch
 	 * @return an immutable list
 	 */
-	public synchronized List<Member> members(long nowMs) {
-		Map<String, Member> members = new TreeMap<>();
+	public synchronized List<MemberStatus> members(long nowMs) {
+		Map<String, MemberStatus> members = new TreeMap<>();
 		members.put(this.self.vm(),
-				new Member(this.self.incarnation(), this.self.failureDomain(), this.self.peerAddress(),
+				new MemberStatus(this.self.incarnation(), this.self.failureDomain(), this.self.peerAddress(),
 						this.joined.contains(this.self.vm()), true, this.selfLeaving, nowMs, this.selfConfigVersion,
 						this.selfInFlight));
 		this.peers.forEach((vm, peer) -> {
-			if (this.joined.contains(vm) || nowMs - peer.lastHeardMs < LIST_FOR_MS) {
+			if (this.joined.contains(vm) || nowMs - peer.lastContactMs < LIST_FOR_MS) {
 				members.put(vm,
-						new Member(peer.incarnation, peer.failureDomain, peer.peerAddress, this.joined.contains(vm),
-								isAlive(peer, nowMs), peer.leaving, peer.lastHeardMs, peer.configVersion,
-								peer.inFlight));
+						new MemberStatus(peer.incarnation, peer.failureDomain, peer.peerAddress,
+								this.joined.contains(vm), isAlive(peer, nowMs), peer.leaving, peer.lastContactMs,
+								peer.configVersion, peer.inFlight));
 			}
 		});
 		return List.copyOf(members.values());
@@ -251,7 +251,7 @@
 	 * @param nowMs the present time in milliseconds since the epoch
 	 * @return names of VMs, sorted
 	 */
-	public synchronized List<String> silentMembers(long nowMs) {
+	public synchronized List<String> unresponsiveMembers(long nowMs) {
 		noticeOwnPause(nowMs);
 		List<String> silent = new ArrayList<>();
 		this.peers.forEach((vm, peer) -> {
@@ -272,11 +272,11 @@
 	 * @param nowMs the present time in milliseconds since the epoch
 	 * @return names of VMs, sorted; empty if the list is old or does not contain this VM
 	 */
-	public synchronized List<String> evictable(Collection<String> listedVms, long listReadAtMs, long nowMs) {
+	public synchronized List<String> evictableMembers(Collection<String> listedVms, long listReadAtMs, long nowMs) {
 		List<String> evictable = new ArrayList<>();
 		Set<String> listed = new HashSet<>(listedVms);
 		boolean listUsable = nowMs - listReadAtMs < this.limits.evictAfterMs() && listed.contains(this.self.vm());
-		for (String vm : silentMembers(nowMs)) {
+		for (String vm : unresponsiveMembers(nowMs)) {
 			Peer peer = this.peers.get(vm);
 			if (listUsable && !listed.contains(vm) && isDomainHeard(vm, peer.failureDomain, nowMs)
 					&& isSilentToLivingPeers(vm, nowMs)) {
@@ -324,7 +324,7 @@
 	}
 
 	private void heard(Peer peer, long nowMs) {
-		peer.lastHeardMs = Math.max(peer.lastHeardMs, nowMs);
+		peer.lastContactMs = Math.max(peer.lastContactMs, nowMs);
 		peer.silentSinceMs = Math.max(peer.silentSinceMs, nowMs);
 		if (!peer.failureDomain.equals(this.self.failureDomain())) {
 			this.lastOutsideMs = Math.max(this.lastOutsideMs, nowMs);
@@ -332,7 +332,7 @@
 	}
 
 	private boolean isAlive(Peer peer, long nowMs) {
-		return peer.lastHeardMs > 0 && nowMs - peer.lastHeardMs < this.limits.aliveForMs();
+		return peer.lastContactMs > 0 && nowMs - peer.lastContactMs < this.limits.aliveForMs();
 	}
 
 	private boolean isSilent(Peer peer, long nowMs) {
@@ -353,7 +353,7 @@
 
 		private boolean leaving;
 
-		private long lastHeardMs;
+		private long lastContactMs;
 
 		private long silentSinceMs;
 
@@ -370,7 +370,7 @@
 		private void restart(Incarnation newIncarnation, long nowMs) {
 			this.incarnation = newIncarnation;
 			this.leaving = false;
-			this.lastHeardMs = 0;
+			this.lastContactMs = 0;
 			this.silentSinceMs = nowMs;
 			this.configVersion = 0;
 			this.inFlight = 0;
--- a/core/src/test/java/org/fulmargap/membership/MembershipViewTests.java
+++ b/core/src/test/java/org/fulmargap/membership/MembershipViewTests.java
@@ -33,23 +33,23 @@
 		this.view.setJoined(DOMAINS.keySet()
 			.stream()
 			.collect(Collectors.toMap(Function.identity(), (vm) -> new Incarnation(vm, 1))), this.nowMs);
-		Stream.of("a2", "b1", "b2", "c1").forEach((vm) -> this.view.hello(hello(vm, 1), this.nowMs));
+		Stream.of("a2", "b1", "b2", "c1").forEach((vm) -> this.view.receiveHello(hello(vm, 1), this.nowMs));
 	}
 
 	private List<String> evictable(Set<String> listed) {
-		return this.view.evictable(listed, this.nowMs, this.nowMs);
+		return this.view.evictableMembers(listed, this.nowMs, this.nowMs);
 	}
 
 	private void runFor(long durationMs, Set<String> silentToOthers, String... heard) {
 		for (long endMs = this.nowMs + durationMs; this.nowMs < endMs;) {
 			this.nowMs += 100;
-			this.view.silentMembers(this.nowMs);
+			this.view.unresponsiveMembers(this.nowMs);
 			Stream.of(heard).forEach((vm) -> heartbeat(vm, silentToOthers));
 		}
 	}
 
 	private void heartbeat(String vm, Set<String> silent) {
-		this.view.heartbeat(heartbeat(vm, 1, 3, silent), this.nowMs);
+		this.view.receiveHeartbeat(heartbeat(vm, 1, 3, silent), this.nowMs);
 	}
 
 	private static Heartbeat heartbeat(String vm, long startedAtMs, long version, Set<String> silent) {
@@ -94,7 +94,7 @@
 		void needsARecentListThatContainsThisVm() {
 			runFor(30_000, Set.of("b2"), "a2", "b1", "c1");
 			assertThat(evictable(Set.of())).isEmpty();
-			assertThat(MembershipViewTests.this.view.evictable(LISTED_WITHOUT_B2,
+			assertThat(MembershipViewTests.this.view.evictableMembers(LISTED_WITHOUT_B2,
 					MembershipViewTests.this.nowMs - 10_000, MembershipViewTests.this.nowMs))
 				.isEmpty();
 		}
@@ -124,7 +124,7 @@
 			assertThat(isIsolated()).isFalse();
 			runFor(200, Set.of(), "a2");
 			assertThat(isIsolated()).isTrue();
-			MembershipViewTests.this.view.logContact(MembershipViewTests.this.nowMs);
+			MembershipViewTests.this.view.recordLogContact(MembershipViewTests.this.nowMs);
 			assertThat(isIsolated()).isFalse();
 			runFor(4_000, Set.of(), "a2", "c1");
 			assertThat(isIsolated()).isFalse();
@@ -142,13 +142,13 @@
 		@Test
 		void refusesAnOlderOneAndItsHeartbeats() {
 			MembershipView view = MembershipViewTests.this.view;
-			assertThat(view.hello(hello("b1", 5), 2_000)).isTrue();
-			assertThat(view.hello(hello("b1", 4), 2_000)).isFalse();
-			assertThat(view.heartbeat(heartbeat("b1", 1, 9, Set.of()), 2_000)).isFalse();
+			assertThat(view.receiveHello(hello("b1", 5), 2_000)).isTrue();
+			assertThat(view.receiveHello(hello("b1", 4), 2_000)).isFalse();
+			assertThat(view.receiveHeartbeat(heartbeat("b1", 1, 9, Set.of()), 2_000)).isFalse();
 			assertThat(view.highestPeerVersion(2_000)).isZero();
 			view.setJoined(Map.of("b1", new Incarnation("b1", 3)), 2_000);
 			assertThat(view.incarnation("b1")).contains(new Incarnation("b1", 5));
-			assertThat(view.heartbeat(heartbeat("b1", 5, 8, Set.of()), 2_000)).isTrue();
+			assertThat(view.receiveHeartbeat(heartbeat("b1", 5, 8, Set.of()), 2_000)).isTrue();
 			assertThat(view.highestPeerVersion(2_000)).isEqualTo(8);
 			assertThat(view.highestPeerVersion(4_000)).isZero();
 		}
@@ -156,16 +156,16 @@
 		@Test
 		void ofVmsThatLeftAreNotListedForEverButStillRefuseOlderOnes() {
 			MembershipView view = MembershipViewTests.this.view;
-			view.hello(hello("b1", 5), 2_000);
+			view.receiveHello(hello("b1", 5), 2_000);
 			view.setJoined(Map.of("a1", new Incarnation("a1", 1)), 2_000);
-			assertThat(view.members(60_000)).extracting(Member::vm).contains("b1");
-			assertThat(view.members(62_000)).extracting(Member::vm).containsExactly("a1");
-			assertThat(view.hello(hello("b1", 4), 62_000)).isFalse();
+			assertThat(view.members(60_000)).extracting(MemberStatus::vm).contains("b1");
+			assertThat(view.members(62_000)).extracting(MemberStatus::vm).containsExactly("a1");
+			assertThat(view.receiveHello(hello("b1", 4), 62_000)).isFalse();
 		}
 
 		@Test
 		void refusesTheNameOfThisVm() {
-			assertThat(MembershipViewTests.this.view.hello(hello("a1", 7), 2_000)).isFalse();
+			assertThat(MembershipViewTests.this.view.receiveHello(hello("a1", 7), 2_000)).isFalse();
 		}
 
 	}
--- a/server/src/main/java/org/fulmargap/ledger/ClaimOutside.java
+++ b/server/src/main/java/org/fulmargap/ledger/ClaimActions.java
@@ -6,7 +6,7 @@
 /**
  * What {@link ClaimTable} asks of its surroundings. Called without the lock.
  */
-interface ClaimOutside {
+interface ClaimActions {
 
 	void resolve(ClaimAttempt attempt);
 
--- a/server/src/main/java/org/fulmargap/ledger/ClaimTable.java
+++ b/server/src/main/java/org/fulmargap/ledger/ClaimTable.java
@@ -38,7 +38,7 @@
 
 	private final long keyLifetimeMs;
 
-	private final ClaimOutside outside;
+	private final ClaimActions outside;
 
 	private final PlatformEvents events;
 
@@ -50,7 +50,7 @@
 
 	private final AppendQueue queue;
 
-	ClaimTable(ServiceIdentity identity, long keyLifetimeMs, ClaimOutside outside, AppendQueue queue,
+	ClaimTable(ServiceIdentity identity, long keyLifetimeMs, ClaimActions outside, AppendQueue queue,
 			PlatformEvents events) {
 		this.identity = identity;
 		this.keyLifetimeMs = keyLifetimeMs;
@@ -60,8 +60,8 @@
 		this.ledger = new ClaimLedger(keyLifetimeMs);
 	}
 
-	synchronized Effects claim(ClaimAttempt attempt, long nowMs) {
-		Effects effects = new Effects();
+	synchronized DeferredActions claim(ClaimAttempt attempt, long nowMs) {
+		DeferredActions effects = new DeferredActions();
 		ClaimKey key = attempt.key();
 		ClaimAttempt running = this.attempts.get(key);
 		if (running != null) {
@@ -90,8 +90,8 @@
 		return true;
 	}
 
-	synchronized Effects complete(ClaimAttempt attempt, RecordedOutcome outcome) {
-		Effects effects = new Effects();
+	synchronized DeferredActions complete(ClaimAttempt attempt, RecordedOutcome outcome) {
+		DeferredActions effects = new DeferredActions();
 		if (attempt.state != State.DISPATCHED) {
 			this.events.violation("claims", "OUTCOME_WITHOUT_DISPATCH", attempt.attemptId() + " " + attempt.state);
 			return effects;
@@ -106,8 +106,8 @@
 		return effects;
 	}
 
-	synchronized Effects release(ClaimAttempt attempt) {
-		Effects effects = new Effects();
+	synchronized DeferredActions release(ClaimAttempt attempt) {
+		DeferredActions effects = new DeferredActions();
 		if (attempt.state == State.OWNED || attempt.state == State.DISPATCHED) {
 			end(attempt, State.RELEASED, effects);
 		}
@@ -115,8 +115,8 @@
 	}
 
 	// Decides about an attempt whose time is nearly over.
-	synchronized Effects resolve(ClaimAttempt attempt, long nowMs) {
-		Effects effects = new Effects();
+	synchronized DeferredActions resolve(ClaimAttempt attempt, long nowMs) {
+		DeferredActions effects = new DeferredActions();
 		if (attempt.state != State.WAITING) {
 			return effects;
 		}
@@ -129,16 +129,17 @@
 		return effects;
 	}
 
-	synchronized Effects giveUp(ClaimAttempt attempt) {
-		Effects effects = new Effects();
+	synchronized DeferredActions giveUp(ClaimAttempt attempt) {
+		DeferredActions effects = new DeferredActions();
 		if (attempt.state == State.WAITING) {
 			refuse(attempt, ClaimRefusals.outcomeUnknown("OWNER_RUNNING", "another attempt of the key runs"), effects);
 		}
 		return effects;
 	}
 
-	synchronized Effects ownerReplied(ClaimAttempt attempt, String ownerAttemptId, Optional<RecordedOutcome> outcome) {
-		Effects effects = new Effects();
+	synchronized DeferredActions ownerReplied(ClaimAttempt attempt, String ownerAttemptId,
+			Optional<RecordedOutcome> outcome) {
+		DeferredActions effects = new DeferredActions();
 		if (attempt.state != State.WAITING) {
 			return effects;
 		}
@@ -154,8 +155,8 @@
 
 	// Ends the wait for an owner that did not answer a peer query, unless the stream
 	// brought news in the meantime.
-	synchronized Effects ownerSilent(ClaimAttempt attempt, String ownerAttemptId) {
-		Effects effects = new Effects();
+	synchronized DeferredActions ownerSilent(ClaimAttempt attempt, String ownerAttemptId) {
+		DeferredActions effects = new DeferredActions();
 		Optional<ClaimView> owner = this.ledger.owner(attempt.key());
 		boolean unchanged = owner.isPresent() && owner.get().attemptId().equals(ownerAttemptId);
 		if (attempt.state == State.WAITING && unchanged) {
@@ -166,8 +167,8 @@
 	}
 
 	// Answers the caller of an abandoned attempt.
-	synchronized Effects resolved(ClaimAttempt attempt, boolean allDeny) {
-		Effects effects = new Effects();
+	synchronized DeferredActions resolved(ClaimAttempt attempt, boolean allDeny) {
+		DeferredActions effects = new DeferredActions();
 		if (attempt.state != State.ABANDONED) {
 			return effects;
 		}
@@ -180,8 +181,8 @@
 
 	// Answers a peer that asks whether the key may have run here, and abandons an attempt
 	// that was not dispatched.
-	synchronized Effects keyQuery(ClaimKey key, long nowMs, CompletableFuture<PeerNetwork.KeyState> reply) {
-		Effects effects = new Effects();
+	synchronized DeferredActions keyQuery(ClaimKey key, long nowMs, CompletableFuture<PeerNetwork.KeyState> reply) {
+		DeferredActions effects = new DeferredActions();
 		this.holdUntilMs.put(key, nowMs + RESOLVE_MS);
 		ClaimAttempt attempt = this.attempts.get(key);
 		PeerNetwork.KeyState state = PeerNetwork.KeyState.NONE;
@@ -205,8 +206,9 @@
 		return effects;
 	}
 
-	synchronized Effects outcomeQuery(ClaimKey key, long waitMs, CompletableFuture<Optional<RecordedOutcome>> reply) {
-		Effects effects = new Effects();
+	synchronized DeferredActions outcomeQuery(ClaimKey key, long waitMs,
+			CompletableFuture<Optional<RecordedOutcome>> reply) {
+		DeferredActions effects = new DeferredActions();
 		ClaimAttempt attempt = this.attempts.get(key);
 		Optional<RecordedOutcome> recorded = this.ledger.owner(key).flatMap(ClaimView::outcome);
 		if (attempt != null && attempt.outcome != null) {
@@ -222,11 +224,12 @@
 		return effects;
 	}
 
-	synchronized Effects read(LogPage page, long nowMs) {
-		Effects effects = new Effects();
+	synchronized DeferredActions read(LogPage page, long nowMs) {
+		DeferredActions effects = new DeferredActions();
 		this.ledger.observeBounds(page.firstOffset(), page.nextOffset(), nowMs).forEach(this::note);
 		for (LogPage.Entry entry : page.records()) {
-			ClaimLedger.Applied applied = this.ledger.apply(entry.offset(), entry.appendedAtMs(), entry.value(), nowMs);
+			ClaimLedger.ApplyResult applied = this.ledger.apply(entry.offset(), entry.appendedAtMs(), entry.value(),
+					nowMs);
 			applied.events().forEach(this::note);
 			for (ClaimKey key : applied.changed()) {
 				ClaimAttempt attempt = this.attempts.get(key);
@@ -238,8 +241,8 @@
 		return effects;
 	}
 
-	synchronized Effects reachedEnd(long nowMs) {
-		Effects effects = new Effects();
+	synchronized DeferredActions reachedEnd(long nowMs) {
+		DeferredActions effects = new DeferredActions();
 		this.queue.removeSeen(this.ledger);
 		if (this.ledger.tryComplete(nowMs)) {
 			note(new ClaimEvent(ClaimEvent.Type.COMPLETE, this.ledger.nextOffset(), this.ledger.size() + " keys"));
@@ -258,8 +261,8 @@
 		this.holdUntilMs.values().removeIf((until) -> until < nowMs);
 	}
 
-	synchronized Effects holdEnded(ClaimAttempt attempt, long nowMs) {
-		Effects effects = new Effects();
+	synchronized DeferredActions holdEnded(ClaimAttempt attempt, long nowMs) {
+		DeferredActions effects = new DeferredActions();
 		considerOwner(attempt, nowMs, effects);
 		return effects;
 	}
@@ -288,7 +291,7 @@
 		}
 	}
 
-	private void join(ClaimAttempt running, ClaimAttempt repeat, long nowMs, Effects effects) {
+	private void join(ClaimAttempt running, ClaimAttempt repeat, long nowMs, DeferredActions effects) {
 		if (!running.claim.digest().equals(repeat.claim.digest())) {
 			effects.complete(repeat.future, ClaimRefusals.conflict());
 		}
@@ -303,7 +306,7 @@
 		}
 	}
 
-	private void applied(ClaimAttempt attempt, long nowMs, Effects effects) {
+	private void applied(ClaimAttempt attempt, long nowMs, DeferredActions effects) {
 		Optional<ClaimView> owner = this.ledger.owner(attempt.key());
 		boolean own = owner.filter((view) -> view.attemptId().equals(attempt.attemptId())).isPresent();
 		if (attempt.state == State.WAITING) {
@@ -318,7 +321,7 @@
 		}
 	}
 
-	private void considerOwner(ClaimAttempt attempt, long nowMs, Effects effects) {
+	private void considerOwner(ClaimAttempt attempt, long nowMs, DeferredActions effects) {
 		Optional<ClaimView> found = this.ledger.owner(attempt.key());
 		if (attempt.state != State.WAITING || found.isEmpty()) {
 			return;
@@ -339,7 +342,7 @@
 		}
 	}
 
-	private void own(ClaimAttempt attempt, long nowMs, Effects effects) {
+	private void own(ClaimAttempt attempt, long nowMs, DeferredActions effects) {
 		long holdMs = this.holdUntilMs.getOrDefault(attempt.key(), nowMs) - nowMs;
 		if (holdMs > 0) {
 			effects.after(holdMs, () -> this.outside.holdEnded(attempt));
@@ -350,7 +353,7 @@
 		}
 	}
 
-	private void abandon(ClaimAttempt attempt, long nowMs, Effects effects) {
+	private void abandon(ClaimAttempt attempt, long nowMs, DeferredActions effects) {
 		attempt.state = State.ABANDONED;
 		withdraw(attempt);
 		long waitMs = Math.min(RESOLVE_MS, attempt.deadline.remainingMs(nowMs)) * 3 / 4;
@@ -358,7 +361,7 @@
 		effects.add(() -> this.outside.askMembers(attempt, waitMs));
 	}
 
-	private void refuse(ClaimAttempt attempt, FulmargapException failure, Effects effects) {
+	private void refuse(ClaimAttempt attempt, FulmargapException failure, DeferredActions effects) {
 		ClaimService.Result refused = new ClaimService.Result.Refused(failure);
 		effects.complete(attempt.future, refused);
 		attempt.joiners.forEach((joiner) -> effects.complete(joiner.future(), refused));
@@ -366,7 +369,7 @@
 		end(attempt, State.RELEASED, effects);
 	}
 
-	private void end(ClaimAttempt attempt, State state, Effects effects) {
+	private void end(ClaimAttempt attempt, State state, DeferredActions effects) {
 		if (attempt.state != State.ABANDONED) {
 			withdraw(attempt);
 		}
--- a/server/src/main/java/org/fulmargap/ledger/ConfigTable.java
+++ b/server/src/main/java/org/fulmargap/ledger/ConfigTable.java
@@ -81,14 +81,14 @@
 		}
 	}
 
-	synchronized Effects reachedEnd(long nowMs) {
+	synchronized DeferredActions reachedEnd(long nowMs) {
 		this.reachedEnd = true;
 		return settle(nowMs);
 	}
 
 	// Completes proposals that are decided or out of time.
-	synchronized Effects settle(long nowMs) {
-		Effects effects = new Effects();
+	synchronized DeferredActions settle(long nowMs) {
+		DeferredActions effects = new DeferredActions();
 		ConfigState state = this.ledger.state();
 		String pending = state.pending().map(PendingPatch::patchId).orElse("");
 		if (!pending.equals(this.pendingPatchId)) {
@@ -115,8 +115,8 @@
 		return effects;
 	}
 
-	synchronized Effects propose(PatchProposal proposal, boolean logAnswers) {
-		Effects effects = new Effects();
+	synchronized DeferredActions propose(PatchProposal proposal, boolean logAnswers) {
+		DeferredActions effects = new DeferredActions();
 		String patchId = proposal.record.patchId();
 		Optional<PatchDecision> decided = this.ledger.state().decision(patchId);
 		PatchProposal running = this.proposals.get(patchId);
@@ -224,16 +224,16 @@
 		}
 		boolean behind = this.behindSinceMs >= 0 && (!this.reachedEnd || nowMs - this.behindSinceMs > TOLERATED_LAG_MS);
 		Optional<Configuration> pending = inDoubt ? this.ledger.pendingConfiguration() : Optional.empty();
-		return new ConfigService.View(version, this.ledger.configuration(), pending, this.ledger.isKnown() && !behind);
+		return new ConfigService.View(version, this.ledger.configuration(), pending, this.ledger.hasState() && !behind);
 	}
 
 	private Optional<ConfigRecord> pendingRecord(PendingPatch pending, long nowMs) {
-		if (pending.waitsFor(this.identity.vm(), this.identity.incarnation())) {
+		if (pending.needsAckFrom(this.identity.vm(), this.identity.incarnation())) {
 			return Optional
 				.of(new ConfigRecord.Ack(pending.patchId(), this.identity.vm(), this.identity.incarnation()));
 		}
 		PatchProposal own = this.proposals.get(pending.patchId());
-		if (own != null && pending.missing().isEmpty()) {
+		if (own != null && pending.missingAcks().isEmpty()) {
 			return Optional.of(new ConfigRecord.Commit(pending.patchId()));
 		}
 		if (own != null && nowMs - own.record.proposedAtMs() > this.settings.patchTimeoutMs()) {
@@ -283,7 +283,7 @@
 		return record instanceof ConfigRecord.Evict evict && !state.isMember(evict.vm(), evict.incarnation());
 	}
 
-	private void finish(PatchProposal proposal, Decision decision, Effects effects) {
+	private void finish(PatchProposal proposal, Decision decision, DeferredActions effects) {
 		this.proposals.remove(proposal.record.patchId());
 		effects.complete(proposal.future, decision);
 	}
--- a/server/src/main/java/org/fulmargap/ledger/Effects.java
+++ b/server/src/main/java/org/fulmargap/ledger/DeferredActions.java
@@ -8,11 +8,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Effects that a decision under a lock has outside of it.
+ * Actions that follow from a decision under a lock and run after the lock is released.
  */
-final class Effects {
+final class DeferredActions {
 
-	private static final Logger logger = LoggerFactory.getLogger(Effects.class);
+	private static final Logger logger = LoggerFactory.getLogger(DeferredActions.class);
 
 	private final List<Runnable> tasks = new ArrayList<>();
 
@@ -32,7 +32,7 @@
 
 	void apply(TimerQueue timers) {
 		this.delayed.forEach((entry) -> timers.schedule(entry.delayMs(), entry.task()));
-		this.tasks.forEach(Effects::run);
+		this.tasks.forEach(DeferredActions::run);
 	}
 
 	// A task that fails, for example a peer query, must not keep the others from running.
--- a/server/src/main/java/org/fulmargap/ledger/LogClaimService.java
+++ b/server/src/main/java/org/fulmargap/ledger/LogClaimService.java
@@ -46,7 +46,7 @@
 
 	private final Supplier<PeerNetwork> peers;
 
-	private final ClaimMembers members;
+	private final MemberDirectory members;
 
 	private final ServiceIdentity identity;
 
@@ -62,7 +62,7 @@
 
 	private final LogTailer tailer;
 
-	private final PumpThread thread;
+	private final PollThread thread;
 
 	private long nextAppendAtMs;
 
@@ -83,8 +83,9 @@
 	 * @param timers runs tasks after a delay
 	 * @param metrics the registry for counters
 	 */
-	public LogClaimService(PlatformLog log, Supplier<PeerNetwork> peers, ClaimMembers members, ServiceIdentity identity,
-			long keyLifetimeMs, LongSupplier clock, TimerQueue timers, MetricRegistry metrics) {
+	public LogClaimService(PlatformLog log, Supplier<PeerNetwork> peers, MemberDirectory members,
+			ServiceIdentity identity, long keyLifetimeMs, LongSupplier clock, TimerQueue timers,
+			MetricRegistry metrics) {
 		this.log = Objects.requireNonNull(log, "log");
 		this.peers = Objects.requireNonNull(peers, "peers");
 		this.members = Objects.requireNonNull(members, "members");
@@ -94,7 +95,7 @@
 		this.events = new PlatformEvents(metrics);
 		this.table = new ClaimTable(identity, keyLifetimeMs, new Calls(), this.queue, this.events);
 		this.tailer = new LogTailer(log, STREAM, new Pages());
-		this.thread = new PumpThread("claims-log", clock, this::pump);
+		this.thread = new PollThread("claims-log", clock, this::pump);
 	}
 
 	/**
@@ -228,7 +229,7 @@
 		return Math.max(MIN_SPACING_MS, this.members.vms().size() * 1000L / APPENDS_PER_SECOND);
 	}
 
-	private void apply(Effects effects) {
+	private void apply(DeferredActions effects) {
 		effects.apply(this.timers);
 	}
 
@@ -260,7 +261,7 @@
 	/**
 	 * Calls from the table to the surroundings.
 	 */
-	private final class Calls implements ClaimOutside {
+	private final class Calls implements ClaimActions {
 
 		@Override
 		public void resolve(ClaimAttempt attempt) {
--- a/server/src/main/java/org/fulmargap/ledger/LogConfigService.java
+++ b/server/src/main/java/org/fulmargap/ledger/LogConfigService.java
@@ -24,7 +24,7 @@
  * Agrees on the configuration through the configuration stream of the platform's log. One
  * thread, the caller of {@link #pump()}, talks to the log.
  */
-public final class LogConfigService implements ConfigService, ClaimMembers, AutoCloseable {
+public final class LogConfigService implements ConfigService, MemberDirectory, AutoCloseable {
 
 	/** The name of the stream. */
 	public static final String STREAM = "config";
@@ -50,7 +50,7 @@
 
 	private final LogTailer tailer;
 
-	private final PumpThread thread;
+	private final PollThread thread;
 
 	private final List<Consumer<ConfigState>> listeners = new CopyOnWriteArrayList<>();
 
@@ -73,7 +73,7 @@
 		this.events = new PlatformEvents(metrics);
 		this.table = new ConfigTable(identity, settings, this.events);
 		this.tailer = new LogTailer(log, STREAM, new Pages());
-		this.thread = new PumpThread("config-log", clock, this::pump);
+		this.thread = new PollThread("config-log", clock, this::pump);
 	}
 
 	/**
--- a/server/src/main/java/org/fulmargap/ledger/ClaimMembers.java
+++ b/server/src/main/java/org/fulmargap/ledger/MemberDirectory.java
@@ -5,7 +5,7 @@
 /**
  * What the claim service needs to know about the members.
  */
-public interface ClaimMembers {
+public interface MemberDirectory {
 
 	/**
 	 * Returns the entry VMs that may hold claims: the members and any other VM that was
--- a/server/src/main/java/org/fulmargap/ledger/PumpThread.java
+++ b/server/src/main/java/org/fulmargap/ledger/PollThread.java
@@ -11,9 +11,9 @@
 /**
  * Thread that calls a pump whenever it is due or woken.
  */
-final class PumpThread implements AutoCloseable {
+final class PollThread implements AutoCloseable {
 
-	private static final Logger logger = LoggerFactory.getLogger(PumpThread.class);
+	private static final Logger logger = LoggerFactory.getLogger(PollThread.class);
 
 	private final ReentrantLock lock = new ReentrantLock();
 
@@ -29,7 +29,7 @@
 
 	private boolean closed;
 
-	PumpThread(String name, LongSupplier clock, LongSupplier pump) {
+	PollThread(String name, LongSupplier clock, LongSupplier pump) {
 		this.clock = clock;
 		this.pump = pump;
 		this.thread = new Thread(this::run, name);
--- a/server/src/main/java/org/fulmargap/peer/PeerDispatcher.java
+++ b/server/src/main/java/org/fulmargap/peer/PeerDispatcher.java
@@ -53,7 +53,7 @@
 
 	private final PendingQueries queries;
 
-	private final RecentStrikes strikes;
+	private final RecentCrashReports strikes;
 
 	private final Set<String> connected;
 
@@ -66,7 +66,7 @@
 	private int nextOrder;
 
 	PeerDispatcher(PeerSettings settings, MembershipView membership, PeerHandler handler, PeerEvents events,
-			LongSupplier clock, FrameCodec codec, PendingQueries queries, RecentStrikes strikes,
+			LongSupplier clock, FrameCodec codec, PendingQueries queries, RecentCrashReports strikes,
 			Set<String> connected) {
 		this.settings = settings;
 		this.membership = membership;
@@ -157,8 +157,8 @@
 	void sendHeartbeats(long nowMs) {
 		this.nextHeartbeatMs = nowMs + this.settings.heartbeatEveryMs();
 		PeerHandler.LocalStatus status = this.handler.status();
-		this.membership.selfStatus(status.leaving(), status.configVersion(), status.inFlight());
-		List<String> silent = this.membership.silentMembers(nowMs);
+		this.membership.updateSelfStatus(status.leaving(), status.configVersion(), status.inFlight());
+		List<String> silent = this.membership.unresponsiveMembers(nowMs);
 		long checksum = status.orders().checksum();
 		// Encoded once, because all links carry the same bytes.
 		Optional<ByteBuffer> plain = encode(heartbeat(status, Map.of(), List.of(), silent));
@@ -210,7 +210,7 @@
 			throw new FrameException(PeerEventType.OWN_VM_NAME, "incarnation " + hello.incarnation());
 		}
 		long nowMs = this.clock.getAsLong();
-		if (!this.membership.hello(hello, nowMs)) {
+		if (!this.membership.receiveHello(hello, nowMs)) {
 			throw new FrameException(PeerEventType.STALE_INCARNATION, "incarnation " + hello.incarnation());
 		}
 		link.establish(hello);
@@ -231,7 +231,8 @@
 
 	private void heartbeat(PeerLink link, Heartbeat heartbeat) throws FrameException {
 		Incarnation sender = link.remote().incarnation();
-		if (!heartbeat.incarnation().equals(sender) || !this.membership.heartbeat(heartbeat, this.clock.getAsLong())) {
+		if (!heartbeat.incarnation().equals(sender)
+				|| !this.membership.receiveHeartbeat(heartbeat, this.clock.getAsLong())) {
 			throw new FrameException(PeerEventType.STALE_INCARNATION, "heartbeat of " + heartbeat.incarnation());
 		}
 		link.peerOrders(heartbeat.ordersChecksum());
--- a/server/src/main/java/org/fulmargap/peer/RecentStrikes.java
+++ b/server/src/main/java/org/fulmargap/peer/RecentCrashReports.java
@@ -10,7 +10,7 @@
  * Crash strikes of this entry VM that a peer with a new link must get. Used by the I/O
  * thread only.
  */
-final class RecentStrikes {
+final class RecentCrashReports {
 
 	/** The time for which a request stays in quarantine. */
 	static final long KEEP_MS = 600_000;
--- a/server/src/main/java/org/fulmargap/peer/TcpPeerNetwork.java
+++ b/server/src/main/java/org/fulmargap/peer/TcpPeerNetwork.java
@@ -36,7 +36,7 @@
 
 	private final LongSupplier clock;
 
-	private final RecentStrikes strikes = new RecentStrikes();
+	private final RecentCrashReports strikes = new RecentCrashReports();
 
 	private final PendingQueries queries = new PendingQueries();
 
@@ -101,7 +101,7 @@
 
 	@Override
 	public CompletableFuture<Optional<RecordedOutcome>> queryOutcome(String incarnation, ClaimKey key, long waitMs) {
-		Incarnation owner = Incarnation.find(incarnation).orElse(null);
+		Incarnation owner = Incarnation.tryParse(incarnation).orElse(null);
 		if (owner == null) {
 			return CompletableFuture.completedFuture(Optional.empty());
 		}
--- a/server/src/main/java/org/fulmargap/pipeline/EndpointWatch.java
+++ b/server/src/main/java/org/fulmargap/pipeline/EndpointMonitor.java
@@ -19,7 +19,7 @@
  * count as a crash only if the endpoint then refuses connections or returns as a new
  * incarnation.
  */
-public final class EndpointWatch implements EndpointObserver {
+public final class EndpointMonitor implements EndpointObserver {
 
 	private final CrashQuarantine quarantine;
 
@@ -40,7 +40,7 @@
 	 * @param timeline receives new strikes
 	 * @param clock the source of the present time in milliseconds since the epoch
 	 */
-	public EndpointWatch(CrashQuarantine quarantine, Consumer<Map<String, List<String>>> spreadStrikes,
+	public EndpointMonitor(CrashQuarantine quarantine, Consumer<Map<String, List<String>>> spreadStrikes,
 			Timeline timeline, LongSupplier clock) {
 		this.quarantine = quarantine;
 		this.spreadStrikes = spreadStrikes;
--- a/server/src/main/java/org/fulmargap/pipeline/PipelineExecutor.java
+++ b/server/src/main/java/org/fulmargap/pipeline/PipelineExecutor.java
@@ -33,7 +33,7 @@
 	 * @param log receives events of stages
 	 * @param clock the source of the present time in milliseconds since the epoch
 	 */
-	public PipelineExecutor(Router router, EndpointClient client, RetryBudget retries, EndpointWatch watch,
+	public PipelineExecutor(Router router, EndpointClient client, RetryBudget retries, EndpointMonitor watch,
 			Invariants invariants, StageLog log, LongSupplier clock) {
 		this.stages = new StageRunner(router, client, retries, watch, log, clock);
 		this.invariants = invariants;
--- a/server/src/main/java/org/fulmargap/pipeline/StageRunner.java
+++ b/server/src/main/java/org/fulmargap/pipeline/StageRunner.java
@@ -41,7 +41,7 @@
 
 	private final RetryBudget retries;
 
-	private final EndpointWatch watch;
+	private final EndpointMonitor watch;
 
 	private final StageLog log;
 
@@ -51,7 +51,7 @@
 
 	private final CapacityWait capacity = new CapacityWait();
 
-	StageRunner(Router router, EndpointClient client, RetryBudget retries, EndpointWatch watch, StageLog log,
+	StageRunner(Router router, EndpointClient client, RetryBudget retries, EndpointMonitor watch, StageLog log,
 			LongSupplier clock) {
 		this.router = router;
 		this.client = client;
--- a/server/src/main/java/org/fulmargap/server/Availability.java
+++ b/server/src/main/java/org/fulmargap/server/Availability.java
@@ -6,7 +6,7 @@
 import org.fulmargap.config.Configuration;
 import org.fulmargap.ledger.ConfigService;
 import org.fulmargap.peer.OrderService;
-import org.fulmargap.pipeline.EndpointWatch;
+import org.fulmargap.pipeline.EndpointMonitor;
 
 /**
  * Collects the reasons for which endpoints get no new work.
@@ -15,7 +15,7 @@
  * @param watch knows the endpoints that said they are leaving
  * @param vmList knows the VMs that the platform lists as leaving
  */
-record Availability(OrderService orders, EndpointWatch watch, VmListWatch vmList) {
+record Availability(OrderService orders, EndpointMonitor watch, VmListWatch vmList) {
 
 	/**
 	 * Returns the endpoints that get no new work: those taken out, those leaving, and
--- a/server/src/main/java/org/fulmargap/server/KnownMembers.java
+++ b/server/src/main/java/org/fulmargap/server/KnownMembers.java
@@ -4,8 +4,8 @@
 import java.util.TreeSet;
 import java.util.function.LongSupplier;
 
-import org.fulmargap.ledger.ClaimMembers;
-import org.fulmargap.membership.Member;
+import org.fulmargap.ledger.MemberDirectory;
+import org.fulmargap.membership.MemberStatus;
 import org.fulmargap.membership.MembershipView;
 
 /**
@@ -13,15 +13,15 @@
  * that joined while this one cannot read the log is known as a peer only, and it may have
  * run a request.
  */
-final class KnownMembers implements ClaimMembers {
+final class KnownMembers implements MemberDirectory {
 
-	private final ClaimMembers joined;
+	private final MemberDirectory joined;
 
 	private final MembershipView heard;
 
 	private final LongSupplier clock;
 
-	KnownMembers(ClaimMembers joined, MembershipView heard, LongSupplier clock) {
+	KnownMembers(MemberDirectory joined, MembershipView heard, LongSupplier clock) {
 		this.joined = joined;
 		this.heard = heard;
 		this.clock = clock;
@@ -31,7 +31,7 @@
 	public Collection<String> vms() {
 		Collection<String> vms = new TreeSet<>(this.joined.vms());
 		if (!vms.isEmpty()) {
-			this.heard.members(this.clock.getAsLong()).stream().map(Member::vm).forEach(vms::add);
+			this.heard.members(this.clock.getAsLong()).stream().map(MemberStatus::vm).forEach(vms::add);
 		}
 		return vms;
 	}
--- a/server/src/main/java/org/fulmargap/server/Upkeep.java
+++ b/server/src/main/java/org/fulmargap/server/MaintenanceTasks.java
@@ -20,9 +20,9 @@
  * Connects configuration, members, orders and the VM list, and does what is due now and
  * then.
  */
-final class Upkeep implements AutoCloseable {
+final class MaintenanceTasks implements AutoCloseable {
 
-	private static final Logger LOG = LoggerFactory.getLogger(Upkeep.class);
+	private static final Logger LOG = LoggerFactory.getLogger(MaintenanceTasks.class);
 
 	private static final long INTERVAL_MS = 500;
 
@@ -52,7 +52,7 @@
 
 	private boolean logSilent;
 
-	Upkeep(LogConfigService config, MembershipView membership, OrderService orders, TcpPeerNetwork network,
+	MaintenanceTasks(LogConfigService config, MembershipView membership, OrderService orders, TcpPeerNetwork network,
 			VmListWatch vmList, Timeline timeline, LongSupplier clock) {
 		this.config = config;
 		this.membership = membership;
@@ -91,7 +91,7 @@
 		long nowMs = this.clock.getAsLong();
 		boolean silent = this.config.isLogSilent();
 		if (!silent) {
-			this.membership.logContact(nowMs);
+			this.membership.recordLogContact(nowMs);
 		}
 		if (silent != this.logSilent) {
 			this.logSilent = silent;
@@ -127,7 +127,7 @@
 
 	private void evictSilent(long nowMs) {
 		VmListWatch.Reading reading = this.vmList.last();
-		for (String vm : this.membership.evictable(reading.vms().keySet(), reading.readAtMs(), nowMs)) {
+		for (String vm : this.membership.evictableMembers(reading.vms().keySet(), reading.readAtMs(), nowMs)) {
 			this.membership.incarnation(vm)
 				.ifPresent((incarnation) -> this.config.evict(vm, incarnation.toString(),
 						"absent from the VM list and silent"));
--- a/server/src/main/java/org/fulmargap/server/Membership.java
+++ b/server/src/main/java/org/fulmargap/server/Membership.java
@@ -19,11 +19,11 @@
  * @param handler answers peers
  * @param config the configuration
  * @param claims the claims
- * @param upkeep connects these parts
+ * @param maintenance connects these parts
  * @param clock the source of the present time in milliseconds since the epoch
  */
 record Membership(MembershipView view, TcpPeerNetwork network, PeerHandler handler, LogConfigService config,
-		LogClaimService claims, Upkeep upkeep, LongSupplier clock) implements AutoCloseable {
+		LogClaimService claims, MaintenanceTasks maintenance, LongSupplier clock) implements AutoCloseable {
 
 	/** The longest wait for the log at a shutdown; it may be down. */
 	private static final long LOG_WAIT_MS = 3_000;
@@ -32,7 +32,7 @@
 
 	void start() throws IOException {
 		this.network.start(this.handler);
-		this.upkeep.start();
+		this.maintenance.start();
 		this.config.start();
 		this.claims.start();
 	}
@@ -41,7 +41,7 @@
 	 * Tells peers that this entry VM is shutting down.
 	 */
 	void announceLeave() {
-		this.view.leave();
+		this.view.markLeaving();
 		this.network.sendHeartbeats();
 	}
 
@@ -63,7 +63,7 @@
 
 	@Override
 	public void close() {
-		this.upkeep.close();
+		this.maintenance.close();
 		this.claims.close();
 		this.config.close();
 		this.network.close();
--- a/server/src/main/java/org/fulmargap/server/Operations.java
+++ b/server/src/main/java/org/fulmargap/server/Operations.java
@@ -15,7 +15,7 @@
 import org.fulmargap.ledger.LogConfigService;
 import org.fulmargap.ledger.TimerQueue;
 import org.fulmargap.membership.AdminOrder;
-import org.fulmargap.membership.Member;
+import org.fulmargap.membership.MemberStatus;
 import org.fulmargap.membership.MembershipView;
 import org.fulmargap.peer.OrderService;
 
@@ -75,7 +75,7 @@
 	public JsonNode members() {
 		ObjectNode node = Json.mapper().createObjectNode();
 		ArrayNode list = node.putArray("members");
-		for (Member member : this.membership.members(this.clock.getAsLong())) {
+		for (MemberStatus member : this.membership.members(this.clock.getAsLong())) {
 			list.addObject()
 				.put("vm", member.vm())
 				.put("incarnation", member.incarnation().toString())
@@ -83,7 +83,7 @@
 				.put("joined", member.joined())
 				.put("alive", member.alive())
 				.put("leaving", member.leaving())
-				.put("last_heard_at_ms", member.lastHeardMs())
+				.put("last_heard_at_ms", member.lastContactMs())
 				.put("config_version", member.configVersion())
 				.put("in_flight", member.inFlight());
 		}
--- a/server/src/main/java/org/fulmargap/server/PlatformModule.java
+++ b/server/src/main/java/org/fulmargap/server/PlatformModule.java
@@ -97,9 +97,9 @@
 
 	@Provides
 	@Singleton
-	static Upkeep upkeep(LogConfigService config, MembershipView membership, OrderService orders,
+	static MaintenanceTasks maintenanceTasks(LogConfigService config, MembershipView membership, OrderService orders,
 			TcpPeerNetwork network, VmListWatch vmList, Timeline timeline, LongSupplier clock) {
-		return new Upkeep(config, membership, orders, network, vmList, timeline, clock);
+		return new MaintenanceTasks(config, membership, orders, network, vmList, timeline, clock);
 	}
 
 }
--- a/server/src/main/java/org/fulmargap/server/ServerModule.java
+++ b/server/src/main/java/org/fulmargap/server/ServerModule.java
@@ -21,7 +21,7 @@
 import org.fulmargap.peer.OrderService;
 import org.fulmargap.peer.PeerHandler;
 import org.fulmargap.peer.TcpPeerNetwork;
-import org.fulmargap.pipeline.EndpointWatch;
+import org.fulmargap.pipeline.EndpointMonitor;
 import org.fulmargap.pipeline.PipelineExecutor;
 import org.fulmargap.pipeline.StageLog;
 import org.fulmargap.routing.CrashQuarantine;
@@ -53,14 +53,14 @@
 
 	@Provides
 	@Singleton
-	static EndpointWatch endpointWatch(CrashQuarantine quarantine, TcpPeerNetwork network, Timeline timeline,
+	static EndpointMonitor endpointMonitor(CrashQuarantine quarantine, TcpPeerNetwork network, Timeline timeline,
 			LongSupplier clock) {
-		return new EndpointWatch(quarantine, network::spreadStrikes, timeline, clock);
+		return new EndpointMonitor(quarantine, network::spreadStrikes, timeline, clock);
 	}
 
 	@Provides
 	@Singleton
-	static PipelineExecutor executor(Router router, EndpointClient client, EndpointWatch watch, Invariants invariants,
+	static PipelineExecutor executor(Router router, EndpointClient client, EndpointMonitor watch, Invariants invariants,
 			Timeline timeline, MetricRegistry metrics, LongSupplier clock) {
 		return new PipelineExecutor(router, client, new RetryBudget(), watch, invariants,
 				new StageLog(timeline, metrics), clock);
@@ -75,7 +75,7 @@
 
 	@Provides
 	@Singleton
-	static Availability availability(OrderService orders, EndpointWatch watch, VmListWatch vmList) {
+	static Availability availability(OrderService orders, EndpointMonitor watch, VmListWatch vmList) {
 		return new Availability(orders, watch, vmList);
 	}
 
@@ -88,7 +88,7 @@
 
 	@Provides
 	@Singleton
-	static LoadPoller loadPoller(LogConfigService config, Router router, EndpointWatch watch, EndpointClient client,
+	static LoadPoller loadPoller(LogConfigService config, Router router, EndpointMonitor watch, EndpointClient client,
 			LongSupplier clock) {
 		return new LoadPoller(() -> config.current().configuration().endpoints(), router, watch, client, clock);
 	}
@@ -129,8 +129,8 @@
 	@Provides
 	@Singleton
 	static Membership membershipParts(MembershipView view, TcpPeerNetwork network, PeerHandler handler,
-			LogConfigService config, LogClaimService claims, Upkeep upkeep, LongSupplier clock) {
-		return new Membership(view, network, handler, config, claims, upkeep, clock);
+			LogConfigService config, LogClaimService claims, MaintenanceTasks maintenance, LongSupplier clock) {
+		return new Membership(view, network, handler, config, claims, maintenance, clock);
 	}
 
 	@Provides
--- a/server/src/test/java/org/fulmargap/http/TestService.java
+++ b/server/src/test/java/org/fulmargap/http/TestService.java
@@ -27,7 +27,7 @@
 import org.fulmargap.endpoint.EndpointClient;
 import org.fulmargap.endpoint.FakeEndpoint;
 import org.fulmargap.ledger.ConfigService;
-import org.fulmargap.pipeline.EndpointWatch;
+import org.fulmargap.pipeline.EndpointMonitor;
 import org.fulmargap.pipeline.PipelineExecutor;
 import org.fulmargap.pipeline.StageLog;
 import org.fulmargap.request.FulmargapException;
@@ -57,7 +57,7 @@
 
 	final CrashQuarantine quarantine = new CrashQuarantine(100);
 
-	final EndpointWatch watch = new EndpointWatch(this.quarantine, (strikes) -> {
+	final EndpointMonitor watch = new EndpointMonitor(this.quarantine, (strikes) -> {
 	}, this.timeline, System::currentTimeMillis);
 
 	volatile FulmargapException gateRefusal;
--- a/server/src/test/java/org/fulmargap/ledger/SimulatedVms.java
+++ b/server/src/test/java/org/fulmargap/ledger/SimulatedVms.java
@@ -91,7 +91,7 @@
 	/**
 	 * One incarnation of an entry VM.
 	 */
-	final class Vm implements ClaimMembers {
+	final class Vm implements MemberDirectory {
 
 		final String name;
 
--- a/server/src/test/java/org/fulmargap/peer/OrderSpreadProperties.java
+++ b/server/src/test/java/org/fulmargap/peer/OrderSpreadProperties.java
@@ -188,12 +188,12 @@
 
 		private void receive(Node sender, long nowMs) {
 			AdminOrders orders = sender.service.current();
-			this.view.hello(sender.view.self(), nowMs);
+			this.view.receiveHello(sender.view.self(), nowMs);
 			List<AdminOrder> repeated = (orders.checksum() != this.service.current().checksum()) ? orders.list()
 					: List.of();
 			Heartbeat heartbeat = new Heartbeat(sender.view.self().incarnation(), false, 0, 0, null, null,
 					orders.checksum(), repeated, null);
-			assertThat(this.view.heartbeat(heartbeat, nowMs)).isTrue();
+			assertThat(this.view.receiveHeartbeat(heartbeat, nowMs)).isTrue();
 			this.service.merge(heartbeat.orders(), nowMs);
 		}
 
--- a/server/src/test/java/org/fulmargap/server/KnownMembersTests.java
+++ b/server/src/test/java/org/fulmargap/server/KnownMembersTests.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.List;
 
-import org.fulmargap.ledger.ClaimMembers;
+import org.fulmargap.ledger.MemberDirectory;
 import org.fulmargap.membership.Hello;
 import org.fulmargap.membership.Incarnation;
 import org.fulmargap.membership.MembershipLimits;
@@ -28,7 +28,7 @@
 	}
 
 	private Collection<String> vms(List<String> joined) {
-		return new KnownMembers(new ClaimMembers() {
+		return new KnownMembers(new MemberDirectory() {
 
 			@Override
 			public Collection<String> vms() {
@@ -48,13 +48,13 @@
 
 		@Test
 		void includeAPeerThatTheStreamDoesNotListYet() {
-			KnownMembersTests.this.heard.hello(hello("c"), NOW_MS);
+			KnownMembersTests.this.heard.receiveHello(hello("c"), NOW_MS);
 			assertThat(vms(List.of("a", "b"))).contains("a", "b", "c");
 		}
 
 		@Test
 		void areEmptyWhileTheMembersAreNotKnown() {
-			KnownMembersTests.this.heard.hello(hello("c"), NOW_MS);
+			KnownMembersTests.this.heard.receiveHello(hello("c"), NOW_MS);
 			assertThat(vms(List.of())).isEmpty();
 		}
 
