--- a/entry/src/main/java/org/fulmargap/entry/EntryVm.java
+++ b/entry/src/main/java/org/fulmargap/entry/EntryVm.java
@@ -199,7 +199,8 @@
 			this.watch.received(records);
 		}
 		else if (message instanceof PeerMessage.CrashReport crashReport) {
-			this.quarantine.mergeCrashReports(Map.of(crashReport.fingerprint(), List.of(crashReport.endpoint())), nowMs);
+			this.quarantine.mergeCrashReports(Map.of(crashReport.fingerprint(), List.of(crashReport.endpoint())),
+					nowMs);
 			EventLog.state("strike_heard")
 				.with("peer", peer)
 				.with("endpoint", crashReport.endpoint())
