--- a/core/src/main/java/org/fulmargap/routing/AdaptiveRouter.java
+++ b/core/src/main/java/org/fulmargap/routing/AdaptiveRouter.java
@@ -19,20 +19,25 @@
 import org.fulmargap.routing.EndpointState.MemberView;
 
 /**
- * Routes each attempt to the endpoint with the least expected extra time, among a sample
- * of the endpoints of the own failure domain first. The state of the endpoints is held in
- * shards, each under its own lock.
+ * Routes each attempt to the endpoint with the lowest expected extra time, compares a
+ * sample of the endpoints of each service, and prefers the entry VM's own failure domain.
+ * The state of the endpoints is divided into shards, each guarded by its own lock.
  */
 public final class AdaptiveRouter implements Router {
 
 	private static final int SHARDS = 16;
 
-	private static final int SAMPLE = 3;
+	/**
+	 * Groups of at most this many endpoints are scanned whole. In larger groups two
+	 * random endpoints are compared first.
+	 */
+	private static final int MAX_FULL_SCAN = 3;
 
 	/**
-	 * The advantage of the owners of a prefix over endpoints that are equal otherwise.
+	 * The extra cost in milliseconds up to which an owner of a prefix is preferred over
+	 * the endpoint that would be selected otherwise.
 	 */
-	private static final double OWNER_MS = 50;
+	private static final double OWNER_PREFERENCE_MS = 50;
 
 	private static final long MIN_PROGRESS_LIMIT_MS = 200;
 
@@ -44,11 +49,11 @@
 
 	private final ConcurrentHashMap<String, ServiceStats> stats = new ConcurrentHashMap<>();
 
-	private final AtomicLong choices = new AtomicLong();
+	private final AtomicLong randomCount = new AtomicLong();
 
 	private volatile Topology topology = Topology.of(Configuration.EMPTY, Set.of(), "");
 
-	private boolean updated;
+	private boolean configured;
 
 	/**
 	 * Creates a router without endpoints.
@@ -71,9 +76,10 @@
 		configuration.endpoints().forEach((name, spec) -> {
 			Shard shard = shard(name);
 			synchronized (shard) {
-				// An endpoint of the first configuration may run for a long time already.
+				// The endpoints of the first configuration may have been running for a
+				// long time, so their start counts as not observed.
 				EndpointState state = shard.states.computeIfAbsent(name,
-						(key) -> new EndpointState(key, spec, view, this.updated, nowMs));
+						(key) -> new EndpointState(key, spec, view, this.configured, nowMs));
 				state.update(spec, view, !unavailable.contains(name), nowMs);
 			}
 		});
@@ -82,7 +88,7 @@
 				shard.states.keySet().retainAll(configuration.endpoints().keySet());
 			}
 		}
-		this.updated |= !configuration.endpoints().isEmpty();
+		this.configured |= !configuration.endpoints().isEmpty();
 		this.topology = Topology.of(configuration, unavailable, this.settings.failureDomain());
 	}
 
@@ -98,10 +104,9 @@
 			List<String> owners = owners(request.prefixKey(),
 					(request.ownDomainOnly()) ? service.own() : service.all());
 			Candidate owner = scan(owners, 0, request, serviceStats, nowMs);
-			// Every entry VM must send a new prefix to the same endpoints, or each
-			// failure
-			// domain computes and stores it.
-			if (owner != null && (chosen == null || owner.cost <= chosen.cost + OWNER_MS)) {
+			// All entry VMs must send a new prefix to the same owners. Otherwise each
+			// failure domain would compute and store it.
+			if (owner != null && (chosen == null || owner.cost <= chosen.cost + OWNER_PREFERENCE_MS)) {
 				chosen = owner;
 			}
 		}
@@ -111,7 +116,7 @@
 				return reservation;
 			}
 		}
-		// Another thread took the last slot of the chosen endpoint.
+		// Another thread may have reserved the last slot of the chosen endpoint.
 		return firstFree(service.own(), request, serviceStats, nowMs)
 			.or(() -> firstFree(others, request, serviceStats, nowMs));
 	}
@@ -126,10 +131,10 @@
 	 * @param endpoint the name of the endpoint
 	 * @param prefixKey identifies the prefix
 	 * @param tokens the number of cached tokens, zero if the prefix was evicted
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
 	public void observeCache(String endpoint, String prefixKey, int tokens, long nowMs) {
-		withState(endpoint, (state) -> state.prefixes().event(prefixKey, tokens, nowMs));
+		withState(endpoint, (state) -> state.prefixes().recordCacheEvent(prefixKey, tokens, nowMs));
 	}
 
 	@Override
@@ -163,7 +168,7 @@
 
 	@Override
 	public long progressLimitMs(String service, long remainingMs) {
-		return Math.min(remainingMs / 2, Math.max(MIN_PROGRESS_LIMIT_MS, 4 * stats(service).highMs()));
+		return Math.min(remainingMs / 2, Math.max(MIN_PROGRESS_LIMIT_MS, 4 * stats(service).p99Ms()));
 	}
 
 	@Override
@@ -174,8 +179,8 @@
 			for (String endpoint : group) {
 				share += query(endpoint, (shard, state) -> {
 					state.advance(this.slowStart, nowMs);
-					boolean usable = state.takesNewWork(nowMs) && !state.isBackingOff();
-					return (usable) ? state.usable(this.slowStart, nowMs) : 0;
+					boolean isUsable = state.acceptsRequests(nowMs) && !state.isBackingOff();
+					return (isUsable) ? state.usableConcurrency(this.slowStart, nowMs) : 0;
 				}, 0);
 			}
 		}
@@ -187,7 +192,7 @@
 		if (own == null || other == null) {
 			return (own != null) ? own : other;
 		}
-		// Below this difference it is better to depend on one failure domain only.
+		// A smaller difference does not justify a dependency on another failure domain.
 		double spillMs = Math.max(5, serviceStats.medianMs() / 4.0);
 		return (own.cost <= other.cost + spillMs) ? own : other;
 	}
@@ -198,7 +203,7 @@
 		}
 		int first = random(group.size());
 		Candidate best = null;
-		if (group.size() > SAMPLE) {
+		if (group.size() > MAX_FULL_SCAN) {
 			best = scan(List.of(group.get(first), group.get(random(group.size()))), 0, request, serviceStats, nowMs);
 		}
 		return (best != null) ? best : scan(group, first, request, serviceStats, nowMs);
@@ -242,7 +247,7 @@
 	}
 
 	private int random(int bound) {
-		long value = Rendezvous.mix(this.settings.seed() + this.choices.incrementAndGet() * 0x9e3779b97f4a7c15L);
+		long value = Rendezvous.mix(this.settings.seed() + this.randomCount.incrementAndGet() * 0x9e3779b97f4a7c15L);
 		return (int) Math.floorMod(value, (long) bound);
 	}
 
@@ -266,7 +271,7 @@
 			}
 			boolean probe = state.reserve(request.isolated());
 			Lease lease = new Lease(shard, state, request, serviceStats, probe, this.slowStart, nowMs);
-			state.started(lease);
+			state.addLease(lease);
 			return Optional.of(lease);
 		}, Optional.empty());
 	}
@@ -295,7 +300,7 @@
 	}
 
 	/**
-	 * Part of the endpoints; its monitor guards them.
+	 * The state of some of the endpoints, guarded by the monitor of the shard.
 	 */
 	static final class Shard {
 
--- a/core/src/main/java/org/fulmargap/routing/CallFailure.java
+++ b/core/src/main/java/org/fulmargap/routing/CallFailure.java
@@ -16,13 +16,13 @@
 	/** The endpoint answered that it is leaving and did not start the request. */
 	LEAVING(DispatchState.NOT_SENT, true),
 
-	/** The connection broke after bytes were written. */
+	/** The connection was lost after bytes were written. */
 	CONNECTION_LOST(DispatchState.MAYBE_SENT, true),
 
-	/** No progress was seen and the probe showed a dead connection. */
+	/** The call made no progress, and a probe showed that the connection is dead. */
 	CONNECTION_SILENT(DispatchState.MAYBE_SENT, false),
 
-	/** The time for the call ran out. */
+	/** The call timed out. */
 	TIMED_OUT(DispatchState.MAYBE_SENT, true),
 
 	/** The endpoint answered with an error status. */
@@ -44,7 +44,7 @@
 	}
 
 	/**
-	 * Returns what is known about the dispatch after this failure.
+	 * Returns the dispatch state of the attempt after this failure.
 	 * @return the dispatch state
 	 */
 	public DispatchState dispatchState() {
@@ -52,7 +52,7 @@
 	}
 
 	/**
-	 * Tells whether the failure counts against the health of the endpoint.
+	 * Returns whether the failure counts against the health of the endpoint.
 	 * @return {@code true} if the endpoint should get less work
 	 */
 	public boolean countsAgainstEndpoint() {
--- a/core/src/main/java/org/fulmargap/routing/ConnectionLiveness.java
+++ b/core/src/main/java/org/fulmargap/routing/ConnectionLiveness.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 
 /**
- * Decides what a stage call without progress means. An open connection can go silent for
- * ever while new connections to the same endpoint work, so the answer to a probe over a
- * new connection is compared with the silence on the old one.
+ * Decides whether a stage call without progress is slow or its connection is dead. An
+ * open connection can stop delivering data for good while new connections to the same
+ * endpoint work, so the endpoint is probed over a new connection.
  */
 public final class ConnectionLiveness {
 
@@ -16,10 +16,10 @@
 	}
 
 	/**
-	 * Decides about one call.
+	 * Decides whether the client keeps waiting for one call.
 	 * @param silentMs the time since the last progress of the call in milliseconds
 	 * @param limitMs the progress limit of the call in milliseconds
-	 * @param probe what the probe showed
+	 * @param probe the result of the probe
 	 * @param report a load report that the endpoint sent after the probe began, or empty
 	 * if the endpoint reports no load
 	 * @param attempt the attempt id of the call
@@ -35,15 +35,15 @@
 			return Verdict.SUSPECT;
 		}
 		if (report.isEmpty()) {
-			// Without a list of attempts a slow endpoint looks like a dead connection.
-			// Half the limit more leaves time for a retry, as the limit is at most half
-			// of the remaining time.
+			// Without a list of attempts a slow endpoint cannot be told from a dead
+			// connection. Waiting for another half of the limit still leaves time for a
+			// retry, because the limit is at most half of the remaining time.
 			return (2 * silentMs >= 3 * limitMs) ? Verdict.DEAD : Verdict.WAIT;
 		}
 		if (report.get().attempts().contains(attempt)) {
 			return Verdict.WAIT;
 		}
-		// A reading from before the call was sent cannot list it.
+		// A report that is not newer than the call cannot list it.
 		return (report.get().reportedAtMs() <= sentAtMs) ? Verdict.WAIT : Verdict.DEAD;
 	}
 
@@ -62,9 +62,10 @@
 		NO_ANSWER;
 
 		/**
-		 * Classifies a probe by its time.
+		 * Classifies a probe by whether its answer arrived in time.
 		 * @param answered whether an answer arrived
-		 * @param elapsedMs the time from the start of the probe to the answer or to now
+		 * @param elapsedMs the time from the start of the probe to its answer, or to the
+		 * current time if there is none, in milliseconds
 		 * @return the result
 		 */
 		public static Probe of(boolean answered, long elapsedMs) {
@@ -81,10 +82,13 @@
 	 */
 	public enum Verdict {
 
-		/** The endpoint works on the call, or nothing is known yet. */
+		/** The endpoint is processing the call, or the result is not known yet. */
 		WAIT(false),
 
-		/** The connection is dead, and the endpoint does not work on the call. */
+		/**
+		 * The connection is presumed dead: the endpoint answers probes but does not
+		 * process the call, or reports no load and the call stays silent.
+		 */
 		DEAD(true),
 
 		/** The endpoint does not answer. */
@@ -97,7 +101,8 @@
 		}
 
 		/**
-		 * Tells whether an idempotent stage should be tried elsewhere.
+		 * Returns whether the call should end, so that an idempotent stage can be retried
+		 * on another endpoint.
 		 * @return {@code true} unless the client should keep waiting
 		 */
 		public boolean endsCall() {
--- a/core/src/main/java/org/fulmargap/routing/CrashQuarantine.java
+++ b/core/src/main/java/org/fulmargap/routing/CrashQuarantine.java
@@ -12,19 +12,20 @@
 import java.util.TreeSet;
 
 /**
- * Keeps requests that crash endpoints away from the remaining endpoints. A fingerprint
- * gets a strike for each endpoint that crashed while a request with it was in flight
- * there. Safe for use by several threads.
+ * Isolates and refuses requests that crash endpoints. Each endpoint that crashed while a
+ * request was in flight there adds a crash report to the fingerprint of the request. Safe
+ * for use by several threads.
  */
 public final class CrashQuarantine {
 
-	/** How long strikes and quarantine last in milliseconds. */
+	/** The time in milliseconds for which crash reports and a quarantine are kept. */
 	public static final long LIFETIME_MS = 600_000;
 
 	/**
-	 * A broken connection counts towards a crash that is confirmed within this time.
+	 * A lost connection counts as a crash only if the crash is confirmed within this
+	 * time.
 	 */
-	static final long SUSPICION_MS = 5_000;
+	static final long SUSPICION_TIMEOUT_MS = 5_000;
 
 	private static final int CRASHES_TO_QUARANTINE = 2;
 
@@ -37,7 +38,7 @@
 	private final LinkedHashMap<Suspicion, Long> suspicions = new LinkedHashMap<>();
 
 	/**
-	 * Creates a quarantine without strikes.
+	 * Creates a quarantine without crash reports.
 	 * @param maxFingerprints the highest number of fingerprints kept; the oldest are
 	 * dropped first
 	 */
@@ -46,12 +47,12 @@
 	}
 
 	/**
-	 * Creates a quarantine without strikes.
+	 * Creates a quarantine without crash reports.
 	 * @param maxFingerprints the highest number of fingerprints kept; the oldest are
 	 * dropped first
-	 * @param crashesToQuarantine the endpoints that must crash before a fingerprint is
-	 * refused: more where many requests are alike, so that an outage of several endpoints
-	 * isn't taken for the fault of such a request
+	 * @param crashesToQuarantine the number of endpoints that must crash before a
+	 * fingerprint is refused; use a higher number where many requests share a
+	 * fingerprint, so that an outage of several endpoints is not attributed to them
 	 */
 	public CrashQuarantine(int maxFingerprints, int crashesToQuarantine) {
 		if (maxFingerprints < 1) {
@@ -65,9 +66,9 @@
 	}
 
 	/**
-	 * Decides how a request may run.
+	 * Decides whether a request may run, and whether it must be isolated.
 	 * @param fingerprint the fingerprint of the request
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return the verdict
 	 */
 	public synchronized Verdict verdict(String fingerprint, long nowMs) {
@@ -83,9 +84,10 @@
 	}
 
 	/**
-	 * Returns the endpoints that must not get a request with this fingerprint again.
+	 * Returns the endpoints to which a request with this fingerprint must not be sent
+	 * again.
 	 * @param fingerprint the fingerprint of the request
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return the names of the endpoints that crashed, or may have crashed, with it
 	 */
 	public synchronized Set<String> suspectedEndpoints(String fingerprint, long nowMs) {
@@ -104,11 +106,11 @@
 	}
 
 	/**
-	 * Records that the connection of a request broke. It becomes a strike if
-	 * {@link #confirmCrash} follows within five seconds.
+	 * Records that the connection of a request was lost. It becomes a crash report if
+	 * {@link #confirmCrash} is called for the endpoint within five seconds.
 	 * @param endpoint the name of the endpoint
 	 * @param fingerprint the fingerprint of the request
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
 	public synchronized void connectionLost(String endpoint, String fingerprint, long nowMs) {
 		expire(nowMs);
@@ -117,11 +119,12 @@
 	}
 
 	/**
-	 * Records that an endpoint refuses connections or returned as a new incarnation. Each
-	 * request whose connection to it broke shortly before gets a strike.
+	 * Records that an endpoint refuses connections or has restarted with a new
+	 * incarnation. Adds a crash report for each request whose connection to it was lost
+	 * in the last five seconds.
 	 * @param endpoint the name of the endpoint
-	 * @param nowMs the present time in milliseconds since the epoch
-	 * @return the new strikes to send to all peers, endpoints by fingerprint
+	 * @param nowMs the current time in milliseconds since the epoch
+	 * @return the new crash reports, to be sent to all peers, as endpoints by fingerprint
 	 */
 	public synchronized Map<String, List<String>> confirmCrash(String endpoint, long nowMs) {
 		expire(nowMs);
@@ -140,15 +143,15 @@
 	 * Records the crash of an endpoint.
 	 * @param endpoint the name of the endpoint
 	 * @param fingerprints the fingerprints of the requests that were in flight there
-	 * @param nowMs the present time in milliseconds since the epoch
-	 * @return the new strikes to send to all peers, endpoints by fingerprint
+	 * @param nowMs the current time in milliseconds since the epoch
+	 * @return the new crash reports, to be sent to all peers, as endpoints by fingerprint
 	 */
 	public synchronized Map<String, List<String>> recordCrash(String endpoint, Collection<String> fingerprints,
 			long nowMs) {
 		expire(nowMs);
 		Map<String, List<String>> added = new TreeMap<>();
 		for (String fingerprint : fingerprints) {
-			if (strike(fingerprint, endpoint, true, nowMs)) {
+			if (reportCrash(fingerprint, endpoint, true, nowMs)) {
 				added.put(fingerprint, List.of(endpoint));
 			}
 		}
@@ -156,7 +159,7 @@
 	}
 
 	/**
-	 * Removes the strike of a request that ended without a crash. A quarantined
+	 * Removes the crash reports of a request that ended without a crash. A quarantined
 	 * fingerprint stays quarantined.
 	 * @param fingerprint the fingerprint of the request
 	 */
@@ -171,15 +174,15 @@
 	}
 
 	/**
-	 * Returns the strikes that this entry VM observed itself, for heartbeats. Strikes
-	 * learned from peers are left out, because otherwise two peers would keep each
-	 * other's copies alive for ever.
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * Returns the crash reports that this entry VM observed itself, for heartbeats.
+	 * Reports received from peers are left out, because two peers would otherwise renew
+	 * each other's copies and the reports would never expire.
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return endpoints by fingerprint
 	 */
 	public synchronized Map<String, List<String>> crashReports(long nowMs) {
 		expire(nowMs);
-		Map<String, List<String>> strikes = new HashMap<>();
+		Map<String, List<String>> reports = new HashMap<>();
 		this.entries.forEach((fingerprint, entry) -> {
 			List<String> own = entry.endpoints.entrySet()
 				.stream()
@@ -187,24 +190,24 @@
 				.map(Map.Entry::getKey)
 				.toList();
 			if (!own.isEmpty()) {
-				strikes.put(fingerprint, own);
+				reports.put(fingerprint, own);
 			}
 		});
-		return strikes;
+		return reports;
 	}
 
 	/**
-	 * Merges strikes of a peer.
-	 * @param strikes endpoints by fingerprint
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * Merges the crash reports of a peer.
+	 * @param reports endpoints by fingerprint
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
-	public synchronized void mergeCrashReports(Map<String, List<String>> strikes, long nowMs) {
+	public synchronized void mergeCrashReports(Map<String, List<String>> reports, long nowMs) {
 		expire(nowMs);
-		strikes.forEach((fingerprint, endpoints) -> endpoints
-			.forEach((endpoint) -> strike(fingerprint, endpoint, false, nowMs)));
+		reports.forEach((fingerprint, endpoints) -> endpoints
+			.forEach((endpoint) -> reportCrash(fingerprint, endpoint, false, nowMs)));
 	}
 
-	private boolean strike(String fingerprint, String endpoint, boolean own, long nowMs) {
+	private boolean reportCrash(String fingerprint, String endpoint, boolean observedHere, long nowMs) {
 		Entry entry = this.entries.get(fingerprint);
 		if (entry == null) {
 			entry = new Entry(nowMs);
@@ -214,10 +217,10 @@
 		if (entry.endpoints.size() >= this.crashesToQuarantine) {
 			return false;
 		}
-		boolean isNew = entry.endpoints.putIfAbsent(endpoint, own) == null;
+		boolean isNew = entry.endpoints.putIfAbsent(endpoint, observedHere) == null;
 		if (isNew && entry.endpoints.size() == this.crashesToQuarantine) {
-			// The quarantine lasts its full time from the last strike, and the map stays
-			// in the order of expiry.
+			// The quarantine lasts its full time from the last crash report. Inserting
+			// the entry again keeps the map in the order of expiry.
 			Entry quarantined = new Entry(nowMs);
 			quarantined.endpoints.putAll(entry.endpoints);
 			this.entries.remove(fingerprint);
@@ -233,7 +236,7 @@
 
 	private void expire(long nowMs) {
 		this.entries.values().removeIf((entry) -> nowMs - entry.sinceMs >= LIFETIME_MS);
-		this.suspicions.values().removeIf((atMs) -> nowMs - atMs >= SUSPICION_MS);
+		this.suspicions.values().removeIf((atMs) -> nowMs - atMs >= SUSPICION_TIMEOUT_MS);
 	}
 
 	private static <K, V> void trim(LinkedHashMap<K, V> map, int size) {
@@ -259,21 +262,21 @@
 	}
 
 	/**
-	 * How a request may run.
+	 * Decision about a request.
 	 */
 	public enum Verdict {
 
-		/** The request runs like any other. */
+		/** The request runs without restrictions. */
 		ALLOWED,
 
-		/** The request must not share an endpoint with another one that has a strike. */
+		/** The request must not share an endpoint with another isolated request. */
 		ISOLATED,
 
 		/** The request is refused. */
 		QUARANTINED;
 
 		/**
-		 * Tells whether the request may run.
+		 * Returns whether the request may run.
 		 * @return {@code false} if it must be refused
 		 */
 		public boolean mayRun() {
--- a/core/src/main/java/org/fulmargap/routing/DurationWindow.java
+++ b/core/src/main/java/org/fulmargap/routing/DurationWindow.java
@@ -54,9 +54,9 @@
 	}
 
 	/**
-	 * Returns the median of the parts of the durations that do not come from computing
-	 * prompts, so that calls that found different prefixes cached can be compared.
-	 * @param msPerToken the time to compute one token of a prompt
+	 * Returns the median duration without the time for computing prompts, so that calls
+	 * with different numbers of cached prompt tokens can be compared.
+	 * @param msPerToken the time to compute one token of a prompt in milliseconds
 	 * @return milliseconds, at least zero
 	 */
 	double baseMedian(double msPerToken) {
--- a/core/src/main/java/org/fulmargap/routing/EndpointHealth.java
+++ b/core/src/main/java/org/fulmargap/routing/EndpointHealth.java
@@ -1,68 +1,71 @@
 package org.fulmargap.routing;
 
 /**
- * Back-off of one endpoint after failures. Not safe for use by several threads.
+ * Backoff of one endpoint after failures. Not safe for use by several threads.
  */
 final class EndpointHealth {
 
-	static final long FIRST_BACK_OFF_MS = 200;
+	static final long INITIAL_BACKOFF_MS = 200;
 
-	/** Bounds how long an endpoint that works again stays unused. */
-	static final long MAX_BACK_OFF_MS = 5_000;
+	/** Bounds the time for which a recovered endpoint stays unused. */
+	static final long MAX_BACKOFF_MS = 5_000;
 
-	/** Failures that one request can cause alone count only when they repeat. */
-	private static final int FAILURES_TO_BACK_OFF = 3;
+	/**
+	 * A single request can cause failures other than connection failures, so these start
+	 * a backoff only after this many failures without a success.
+	 */
+	private static final int FAILURES_TO_BACKOFF = 3;
 
 	private int failures;
 
-	private long backOffMs;
+	private long backoffMs;
 
 	private long retryAtMs;
 
 	private long failedAtMs;
 
-	private boolean probing;
+	private boolean probeInFlight;
 
 	/**
-	 * Tells whether a request may be sent.
-	 * @param nowMs the present time in milliseconds since the epoch
-	 * @return {@code true} if the endpoint is healthy, or its back-off has passed and no
-	 * other request probes it
+	 * Returns whether a request may be sent to the endpoint.
+	 * @param nowMs the current time in milliseconds since the epoch
+	 * @return {@code true} if the endpoint is healthy, or its backoff has passed and no
+	 * probe is in flight
 	 */
 	boolean isUsable(long nowMs) {
-		return !isBackingOff() || (nowMs >= this.retryAtMs && !this.probing);
+		return !isBackingOff() || (nowMs >= this.retryAtMs && !this.probeInFlight);
 	}
 
 	boolean isBackingOff() {
-		return this.backOffMs > 0;
+		return this.backoffMs > 0;
 	}
 
 	/**
-	 * Notes that a request was sent.
-	 * @return {@code true} if the request is the probe of an endpoint in back-off
+	 * Records that a request was sent.
+	 * @return {@code true} if the request is the probe of an endpoint in backoff
 	 */
-	boolean sent() {
+	boolean requestSent() {
 		if (isBackingOff()) {
-			this.probing = true;
+			this.probeInFlight = true;
 			return true;
 		}
 		return false;
 	}
 
 	void probeEnded() {
-		this.probing = false;
+		this.probeInFlight = false;
 	}
 
 	void succeeded() {
 		this.failures = 0;
-		this.backOffMs = 0;
+		this.backoffMs = 0;
 	}
 
 	/**
-	 * Records a failure that the endpoint is blamed for.
+	 * Records a failure that counts against the health of the endpoint.
 	 * @param failure how the call failed
 	 * @param wasProbe whether the call was the probe
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
 	void failed(CallFailure failure, boolean wasProbe, long nowMs) {
 		this.failures++;
@@ -70,20 +73,23 @@
 		if (isBackingOff() && !wasProbe) {
 			return;
 		}
-		if (wasProbe || isConnection || this.failures >= FAILURES_TO_BACK_OFF) {
-			this.backOffMs = (isBackingOff()) ? Math.min(2 * this.backOffMs, MAX_BACK_OFF_MS) : FIRST_BACK_OFF_MS;
-			this.retryAtMs = nowMs + this.backOffMs;
+		if (wasProbe || isConnection || this.failures >= FAILURES_TO_BACKOFF) {
+			this.backoffMs = (isBackingOff()) ? Math.min(2 * this.backoffMs, MAX_BACKOFF_MS) : INITIAL_BACKOFF_MS;
+			this.retryAtMs = nowMs + this.backoffMs;
 			this.failedAtMs = nowMs;
 		}
 	}
 
 	/**
-	 * Notes that the endpoint reported its load, so a probe is likely to connect.
-	 * @param reportedAtMs when the endpoint took the reading
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * Records that the endpoint reported its load. A probe is then likely to connect, so
+	 * it may start at once unless six or more failures were recorded since the last
+	 * success.
+	 * @param reportedAtMs when the endpoint measured the load, milliseconds since the
+	 * epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
-	void reported(long reportedAtMs, long nowMs) {
-		if (isBackingOff() && reportedAtMs > this.failedAtMs && this.failures < 2 * FAILURES_TO_BACK_OFF) {
+	void loadReported(long reportedAtMs, long nowMs) {
+		if (isBackingOff() && reportedAtMs > this.failedAtMs && this.failures < 2 * FAILURES_TO_BACKOFF) {
 			this.retryAtMs = Math.min(this.retryAtMs, nowMs);
 		}
 	}
--- a/core/src/main/java/org/fulmargap/routing/EndpointState.java
+++ b/core/src/main/java/org/fulmargap/routing/EndpointState.java
@@ -7,31 +7,46 @@
 import org.fulmargap.config.EndpointSpec;
 
 /**
- * What one entry VM knows about one endpoint. Guarded by the lock of its shard.
+ * State of one endpoint as seen by one entry VM. Guarded by the lock of its shard.
  */
 final class EndpointState {
 
-	/** A report older than this says nothing about free capacity. */
+	/** A load report older than this no longer shows the free capacity. */
 	private static final long REPORT_VALID_MS = 2_000;
 
-	/** An endpoint that is out for longer was probably restarted. */
-	private static final long OUT_UNTIL_COLD_MS = 2_000;
+	/** An endpoint that was unavailable for at least this time was probably restarted. */
+	private static final long MIN_RESTART_OUTAGE_MS = 2_000;
 
-	/** A leaving endpoint that stays in the configuration is tried again after this. */
-	private static final long LEAVING_MS = 10_000;
+	/**
+	 * A leaving endpoint that stays in the configuration gets requests again after this
+	 * time.
+	 */
+	private static final long LEAVING_RETRY_MS = 10_000;
 
-	/** A call that takes longer than this multiple of the median shows slowness. */
+	/**
+	 * A call that takes longer than this multiple of the median marks the endpoint as
+	 * slow.
+	 */
 	private static final int SLOW_CALL_FACTOR = 2;
 
-	/** A slow endpoint is tried again, because it may have recovered. */
-	private static final long SLOWNESS_HALVED_MS = 10_000;
+	/**
+	 * Half-life of the slowdown of an endpoint without new results. A slow endpoint may
+	 * have recovered, so it gets requests again.
+	 */
+	private static final long SLOWDOWN_HALF_LIFE_MS = 10_000;
 
-	/** Smaller differences, in medians, come from the lengths of the answers. */
-	private static final double SLOWNESS_IGNORED = 0.5;
+	/**
+	 * A slowdown below this multiple of the median is ignored, because it comes from
+	 * different lengths of the answers.
+	 */
+	private static final double MIN_SLOWDOWN_FACTOR = 0.5;
 
 	private static final int MAX_PREFIXES = 512;
 
-	/** Prefers the less loaded of two endpoints that are equal otherwise. */
+	/**
+	 * Weight of the load in the cost, so that the less loaded of two otherwise equal
+	 * endpoints is chosen.
+	 */
 	private static final double LOAD_WEIGHT = 0.02;
 
 	private final String name;
@@ -42,11 +57,11 @@
 
 	private final PrefixAffinity prefixes = new PrefixAffinity(MAX_PREFIXES);
 
-	private final DurationWindow recent = new DurationWindow(8);
+	private final DurationWindow recentDurations = new DurationWindow(8);
 
-	private long recentMs;
+	private long lastResultMs;
 
-	private double hungMs;
+	private double timeoutExcessMs;
 
 	private EndpointSpec spec;
 
@@ -105,7 +120,7 @@
 		if (this.available && !available) {
 			this.unavailableSinceMs = nowMs;
 		}
-		else if (!this.available && available && nowMs - this.unavailableSinceMs >= OUT_UNTIL_COLD_MS) {
+		else if (!this.available && available && nowMs - this.unavailableSinceMs >= MIN_RESTART_OUTAGE_MS) {
 			restart(nowMs);
 		}
 		this.available = available;
@@ -121,19 +136,19 @@
 		this.prefixes.clear();
 	}
 
-	int allowance(SlowStart slowStart, long nowMs) {
-		int allowance = slowStart.allowance(this.warmUp.workMs(), this.spec.maxConcurrency());
-		return (hasReport(nowMs)) ? Math.min(allowance, Math.max(0, this.report.capacity())) : allowance;
+	int concurrencyLimit(SlowStart slowStart, long nowMs) {
+		int limit = slowStart.concurrencyLimit(this.warmUp.workMs(), this.spec.maxConcurrency());
+		return (hasReport(nowMs)) ? Math.min(limit, Math.max(0, this.report.capacity())) : limit;
 	}
 
 	/**
 	 * Returns the number of requests that this entry VM may have in flight.
 	 * @param slowStart the settings
-	 * @param nowMs the present time in milliseconds since the epoch
-	 * @return this entry VM's share of the present allowance
+	 * @param nowMs the current time in milliseconds since the epoch
+	 * @return this entry VM's share of the current concurrency limit
 	 */
 	int share(SlowStart slowStart, long nowMs) {
-		return SlowStart.share(allowance(slowStart, nowMs), this.rank, this.members.size());
+		return SlowStart.share(concurrencyLimit(slowStart, nowMs), this.rank, this.members.size());
 	}
 
 	void advance(SlowStart slowStart, long nowMs) {
@@ -141,13 +156,13 @@
 	}
 
 	/**
-	 * Returns the number of requests that this entry VM can usefully have in flight: its
-	 * share, or more while a warm endpoint reports free capacity.
+	 * Returns the number of requests that this entry VM can have in flight: its share, or
+	 * more while a warm endpoint reports free capacity.
 	 * @param slowStart the settings
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return the number of requests
 	 */
-	int usable(SlowStart slowStart, long nowMs) {
+	int usableConcurrency(SlowStart slowStart, long nowMs) {
 		int share = share(slowStart, nowMs);
 		if (!isWarm(slowStart) || !hasReport(nowMs)) {
 			return share;
@@ -157,10 +172,11 @@
 	}
 
 	boolean isWarm(SlowStart slowStart) {
-		return slowStart.allowance(this.warmUp.workMs(), this.spec.maxConcurrency()) >= this.spec.maxConcurrency();
+		return slowStart.concurrencyLimit(this.warmUp.workMs(), this.spec.maxConcurrency()) >= this.spec
+			.maxConcurrency();
 	}
 
-	boolean takesNewWork(long nowMs) {
+	boolean acceptsRequests(long nowMs) {
 		return this.available && nowMs >= this.leavingUntilMs && this.health.isUsable(nowMs);
 	}
 
@@ -169,24 +185,24 @@
 	}
 
 	/**
-	 * Rates the endpoint for one request.
+	 * Returns the cost of sending one request to the endpoint.
 	 * @param request the request
 	 * @param stats the durations of the service
 	 * @param slowStart the settings
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return the expected extra time in milliseconds, or a negative value if the
 	 * endpoint may not get the request
 	 */
 	double cost(RouteRequest request, ServiceStats stats, SlowStart slowStart, long nowMs) {
 		advance(slowStart, nowMs);
-		if (!takesNewWork(nowMs) || (request.isolated() && this.isolatedInFlight > 0)) {
+		if (!acceptsRequests(nowMs) || (request.isolated() && this.isolatedInFlight > 0)) {
 			return -1;
 		}
-		int allowance = allowance(slowStart, nowMs);
+		int limit = concurrencyLimit(slowStart, nowMs);
 		int share = share(slowStart, nowMs);
-		double typicalMs = Math.max(stats.medianMs(), this.recent.median());
+		double typicalMs = Math.max(stats.medianMs(), this.recentDurations.median());
 		int load = load(nowMs);
-		double waitMs = Math.max(0, load + 1 - allowance) * typicalMs / Math.max(1, allowance);
+		double waitMs = Math.max(0, load + 1 - limit) * typicalMs / Math.max(1, limit);
 		int cached = 0;
 		if (!request.prefixKey().isEmpty()) {
 			cached = this.prefixes.cachedTokens(request.prefixKey(), request.promptTokens(), nowMs);
@@ -194,19 +210,19 @@
 		if (this.inFlight >= share && !mayExceedShare(share, cached, waitMs, stats, slowStart, nowMs)) {
 			return -1;
 		}
-		double recentMs = this.recent.baseMedian(stats.msPerToken()) - stats.baseMedianMs();
-		double slownessMs = Math.max(this.hungMs, Math.max(0, recentMs))
-				* Math.pow(0.5, (nowMs - this.recentMs) / (double) SLOWNESS_HALVED_MS);
-		if (slownessMs < SLOWNESS_IGNORED * stats.medianMs()) {
-			slownessMs = 0;
+		double recentSlowdownMs = this.recentDurations.baseMedian(stats.msPerToken()) - stats.baseMedianMs();
+		double slowdownMs = Math.max(this.timeoutExcessMs, Math.max(0, recentSlowdownMs))
+				* Math.pow(0.5, (nowMs - this.lastResultMs) / (double) SLOWDOWN_HALF_LIFE_MS);
+		if (slowdownMs < MIN_SLOWDOWN_FACTOR * stats.medianMs()) {
+			slowdownMs = 0;
 		}
 		if (!this.leases.isEmpty()) {
-			// A call that runs for too long shows slowness before it ends.
+			// A call that runs for too long counts as a slowdown before it ends.
 			long oldestMs = nowMs - this.leases.iterator().next().sentAtMs();
-			slownessMs = Math.max(slownessMs, oldestMs - SLOW_CALL_FACTOR * stats.medianMs());
+			slowdownMs = Math.max(slowdownMs, oldestMs - SLOW_CALL_FACTOR * stats.medianMs());
 		}
 		double uncachedMs = (request.promptTokens() - cached) * stats.msPerToken();
-		return slownessMs + waitMs + uncachedMs + LOAD_WEIGHT * typicalMs * load / Math.max(1, allowance);
+		return slowdownMs + waitMs + uncachedMs + LOAD_WEIGHT * typicalMs * load / Math.max(1, limit);
 	}
 
 	private boolean mayExceedShare(int share, int cached, double waitMs, ServiceStats stats, SlowStart slowStart,
@@ -214,7 +230,8 @@
 		if (!isWarm(slowStart) || this.health.isBackingOff() || !hasReport(nowMs)) {
 			return false;
 		}
-		// Every entry VM sees about the same free capacity and takes its share of it.
+		// Each entry VM uses only its share of the free capacity, because the others see
+		// about the same capacity as free.
 		int free = this.report.capacity() - this.report.inFlight() - this.report.queued();
 		if (free > 0 && this.inFlight - this.inFlightAtReport < SlowStart.share(free, this.rank, this.members.size())) {
 			return true;
@@ -235,7 +252,7 @@
 		return this.report != null && nowMs - this.reportReceivedMs <= REPORT_VALID_MS;
 	}
 
-	void started(Lease lease) {
+	void addLease(Lease lease) {
 		this.leases.add(lease);
 	}
 
@@ -244,10 +261,10 @@
 		if (isolated) {
 			this.isolatedInFlight++;
 		}
-		return this.health.sent();
+		return this.health.requestSent();
 	}
 
-	void free(Lease lease, boolean isolated, boolean probe) {
+	void release(Lease lease, boolean isolated, boolean probe) {
 		this.leases.remove(lease);
 		this.inFlight--;
 		if (isolated) {
@@ -262,24 +279,24 @@
 			SlowStart slowStart, long nowMs) {
 		advance(slowStart, nowMs);
 		this.health.succeeded();
-		if (this.warmUp.incarnationSeen(incarnation, nowMs)) {
+		if (this.warmUp.recordIncarnation(incarnation, nowMs)) {
 			this.prefixes.clear();
 		}
 		if (this.connectFailed && incarnation.isEmpty()) {
 			restart(nowMs);
 		}
 		this.connectFailed = false;
-		this.recent.add(durationMs, uncachedTokens);
-		this.hungMs = 0;
-		this.recentMs = nowMs;
-		this.warmUp.answered(stats.baseMs(durationMs, uncachedTokens), stats.baseMedianMs(), sentAtMs, nowMs);
+		this.recentDurations.add(durationMs, uncachedTokens);
+		this.timeoutExcessMs = 0;
+		this.lastResultMs = nowMs;
+		this.warmUp.recordAnswer(stats.baseMs(durationMs, uncachedTokens), stats.baseMedianMs(), sentAtMs, nowMs);
 	}
 
 	void failed(CallFailure failure, boolean probe, ServiceStats stats, long sentAtMs, SlowStart slowStart,
 			long nowMs) {
 		advance(slowStart, nowMs);
 		if (failure == CallFailure.LEAVING) {
-			this.leavingUntilMs = nowMs + LEAVING_MS;
+			this.leavingUntilMs = nowMs + LEAVING_RETRY_MS;
 			return;
 		}
 		if (!failure.countsAgainstEndpoint()) {
@@ -288,11 +305,11 @@
 		if (failure == CallFailure.TIMED_OUT) {
 			long elapsedMs = nowMs - sentAtMs;
 			if (elapsedMs < SLOW_CALL_FACTOR * stats.medianMs()) {
-				// The call was sent too late for its deadline.
+				// The call timed out early because little time was left when it was sent.
 				return;
 			}
-			this.hungMs = elapsedMs - stats.medianMs();
-			this.recentMs = nowMs;
+			this.timeoutExcessMs = elapsedMs - stats.medianMs();
+			this.lastResultMs = nowMs;
 		}
 		this.health.failed(failure, probe, nowMs);
 		this.connectFailed |= failure == CallFailure.CONNECT_FAILED;
@@ -307,19 +324,19 @@
 		if (this.report != null && latest.reportedAtMs() <= this.report.reportedAtMs()) {
 			return;
 		}
-		if (this.warmUp.incarnationSeen((latest.incarnation() != null) ? latest.incarnation() : "", nowMs)) {
+		if (this.warmUp.recordIncarnation((latest.incarnation() != null) ? latest.incarnation() : "", nowMs)) {
 			this.prefixes.clear();
 		}
 		this.report = latest;
 		this.reportReceivedMs = nowMs;
 		this.inFlightAtReport = this.inFlight;
 		if (latest.inFlight() > 0) {
-			this.warmUp.workSeen(nowMs);
+			this.warmUp.recordWork(nowMs);
 		}
 		if (latest.capacity() >= this.spec.maxConcurrency()) {
 			this.warmUp.assumeWarm(64 * slowStart.doublingMs());
 		}
-		this.health.reported(latest.reportedAtMs(), nowMs);
+		this.health.loadReported(latest.reportedAtMs(), nowMs);
 	}
 
 	/**
--- a/core/src/main/java/org/fulmargap/routing/Lease.java
+++ b/core/src/main/java/org/fulmargap/routing/Lease.java
@@ -3,7 +3,7 @@
 import org.fulmargap.config.EndpointSpec;
 
 /**
- * A reservation of {@link AdaptiveRouter}.
+ * Reservation made by {@link AdaptiveRouter}.
  */
 final class Lease implements Reservation {
 
@@ -65,7 +65,7 @@
 					nowMs);
 			if (!this.request.prefixKey().isEmpty()) {
 				this.state.prefixes()
-					.answered(this.request.prefixKey(), this.request.promptTokens(), cachedTokens, nowMs);
+					.recordAnswer(this.request.prefixKey(), this.request.promptTokens(), cachedTokens, nowMs);
 			}
 		}
 		this.stats.add(durationMs, uncachedTokens);
@@ -86,7 +86,7 @@
 		synchronized (this.lock) {
 			if (!this.closed) {
 				this.closed = true;
-				this.state.free(this, this.request.isolated(), this.probe);
+				this.state.release(this, this.request.isolated(), this.probe);
 			}
 		}
 	}
--- a/core/src/main/java/org/fulmargap/routing/PrefixAffinity.java
+++ b/core/src/main/java/org/fulmargap/routing/PrefixAffinity.java
@@ -10,15 +10,18 @@
  */
 final class PrefixAffinity {
 
-	/** An estimate keeps its full value for this time without use or event. */
-	static final long DECAY_AFTER_MS = 60_000;
+	/**
+	 * An estimate that is not updated for longer than this decays. It is also the
+	 * half-life of the decay.
+	 */
+	static final long DECAY_MS = 60_000;
 
 	private final int maxPrefixes;
 
 	private final LinkedHashMap<String, Estimate> estimates = new LinkedHashMap<>(16, 0.75f, true);
 
 	/**
-	 * Creates an estimate without prefixes.
+	 * Creates an instance without prefixes.
 	 * @param maxPrefixes the highest number of prefixes kept; the least recently used are
 	 * dropped first
 	 */
@@ -27,12 +30,12 @@
 	}
 
 	/**
-	 * Returns the number of prompt tokens that are probably cached. The estimate halves
-	 * for each minute without use after the first.
+	 * Returns the number of prompt tokens that are probably cached. After one minute
+	 * without an update, the estimate halves each minute.
 	 * @param prefixKey identifies the prefix
 	 * @param promptTokens the number of tokens of the prompt
-	 * @param nowMs the present time in milliseconds since the epoch
-	 * @return the number of tokens
+	 * @param nowMs the current time in milliseconds since the epoch
+	 * @return the number of tokens, at most {@code promptTokens}
 	 */
 	int cachedTokens(String prefixKey, int promptTokens, long nowMs) {
 		Estimate estimate = this.estimates.get(prefixKey);
@@ -41,21 +44,22 @@
 		}
 		double tokens = estimate.tokens;
 		long idleMs = nowMs - estimate.atMs;
-		if (idleMs > DECAY_AFTER_MS) {
-			tokens *= Math.pow(0.5, (idleMs - DECAY_AFTER_MS) / (double) DECAY_AFTER_MS);
+		if (idleMs > DECAY_MS) {
+			tokens *= Math.pow(0.5, (idleMs - DECAY_MS) / (double) DECAY_MS);
 		}
 		return (int) Math.min(promptTokens, tokens);
 	}
 
 	/**
-	 * Records an answer. After it, the endpoint holds the prefix. Its length is known
-	 * only from answers that found it cached; until then, half of the prompt is assumed.
+	 * Records an answer, after which the endpoint has the prefix in its cache. The length
+	 * of the prefix is known only from answers that found it cached; until then, half of
+	 * the prompt is assumed.
 	 * @param prefixKey identifies the prefix
 	 * @param promptTokens the number of tokens of the prompt
 	 * @param cachedTokens the number of tokens that the endpoint found in its cache
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
-	void answered(String prefixKey, int promptTokens, int cachedTokens, long nowMs) {
+	void recordAnswer(String prefixKey, int promptTokens, int cachedTokens, long nowMs) {
 		Estimate known = this.estimates.get(prefixKey);
 		int tokens = cachedTokens;
 		if (tokens <= 0) {
@@ -68,9 +72,9 @@
 	 * Records a cache event of the endpoint.
 	 * @param prefixKey identifies the prefix
 	 * @param tokens the number of cached tokens, zero if the prefix was evicted
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
-	void event(String prefixKey, int tokens, long nowMs) {
+	void recordCacheEvent(String prefixKey, int tokens, long nowMs) {
 		if (tokens > 0) {
 			put(prefixKey, tokens, nowMs);
 		}
@@ -80,17 +84,17 @@
 	}
 
 	/**
-	 * Forgets all prefixes, because the endpoint has restarted.
+	 * Removes all estimates after a restart of the endpoint, which empties its cache.
 	 */
 	void clear() {
 		this.estimates.clear();
 	}
 
 	/**
-	 * Tells whether queueing for a cached prefix takes less time than computing it.
-	 * @param waitMs the expected wait in the queue of the endpoint
+	 * Returns whether queueing for a cached prefix takes less time than computing it.
+	 * @param waitMs the expected wait in the queue of the endpoint in milliseconds
 	 * @param cachedTokens the number of tokens that need not be computed
-	 * @param msPerToken the time to compute one token of a prompt
+	 * @param msPerToken the time to compute one token of a prompt in milliseconds
 	 * @return {@code true} if the wait is shorter
 	 */
 	static boolean isWorthQueueing(double waitMs, int cachedTokens, double msPerToken) {
--- a/core/src/main/java/org/fulmargap/routing/Rendezvous.java
+++ b/core/src/main/java/org/fulmargap/routing/Rendezvous.java
@@ -1,7 +1,7 @@
 package org.fulmargap.routing;
 
 /**
- * Scores for rendezvous hashing. The result is the same in every process.
+ * Scores for rendezvous hashing. A score is the same in every process.
  */
 final class Rendezvous {
 
@@ -24,7 +24,7 @@
 		return mix(hash);
 	}
 
-	// Finalizer of SplitMix64; FNV alone leaves the high bits of short names alike.
+	// Finalizer of SplitMix64. FNV alone gives short names similar high bits.
 	static long mix(long value) {
 		long mixed = (value ^ (value >>> 30)) * 0xbf58476d1ce4e5b9L;
 		mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
--- a/core/src/main/java/org/fulmargap/routing/RouteRequest.java
+++ b/core/src/main/java/org/fulmargap/routing/RouteRequest.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /**
- * What the router needs to know about one attempt.
+ * Routing requirements of one attempt.
  *
  * @param service the service that runs the stage
  * @param prefixKey identifies the prompt prefix for cache affinity, empty if there is
@@ -12,8 +12,8 @@
  * @param promptTokens the estimated number of prompt tokens
  * @param excluded names of endpoints that must not be chosen, for example those that
  * failed this request before
- * @param isolated whether the request has a crash strike and must not share an endpoint
- * with another such request
+ * @param isolated whether the request has a crash report or a suspected crash and must
+ * not share an endpoint with another such request
  * @param ownDomainOnly whether only endpoints of the entry VM's failure domain may be
  * used
  */
--- a/core/src/main/java/org/fulmargap/routing/Router.java
+++ b/core/src/main/java/org/fulmargap/routing/Router.java
@@ -8,35 +8,35 @@
 import org.fulmargap.config.Configuration;
 
 /**
- * Chooses endpoints and learns from the results. Implementations are safe for use by
- * several threads and do no I/O.
+ * Selects an endpoint for each attempt and adapts to the results. Implementations are
+ * safe for use by several threads and do no I/O.
  */
 public interface Router {
 
 	/**
-	 * Replaces what is known about endpoints and members.
+	 * Replaces the endpoints and members.
 	 * @param configuration the configuration in force
-	 * @param unavailable the names of endpoints that get no new work because they are
-	 * taken out or leaving
+	 * @param unavailable the names of endpoints that get no new requests because an
+	 * operator took them out of service or they are leaving
 	 * @param members the names of all member entry VMs, this one included
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
 	void update(Configuration configuration, Set<String> unavailable, Collection<String> members, long nowMs);
 
 	/**
-	 * Chooses an endpoint and reserves one request on it.
-	 * @param request what has to be routed
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * Selects an endpoint and reserves a slot on it.
+	 * @param request the requirements of the attempt
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return a reservation that the caller must close, or empty if no endpoint has
 	 * capacity now
 	 */
 	Optional<Reservation> select(RouteRequest request, long nowMs);
 
 	/**
-	 * Records a load report of an endpoint. Reports may be late.
+	 * Records a load report of an endpoint. Reports may arrive late and out of order.
 	 * @param endpoint the name of the endpoint
 	 * @param report the report
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
 	void observeLoad(String endpoint, LoadReport report, long nowMs);
 
@@ -49,14 +49,14 @@
 	/**
 	 * Merges warm-up starts that another entry VM observed. The later start wins.
 	 * @param starts milliseconds since the epoch by endpoint name
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
 	void mergeWarmUpStarts(Map<String, Long> starts, long nowMs);
 
 	/**
 	 * Returns the expected duration of one stage call, without queueing.
 	 * @param service the service that runs the stage
-	 * @return a moving median in milliseconds, zero if nothing is known yet
+	 * @return the median of recent calls in milliseconds, zero before the first result
 	 */
 	long expectedStageMs(String service);
 
@@ -72,9 +72,9 @@
 	 * Returns the number of requests of a service that this entry VM may run at the same
 	 * time.
 	 * @param service the service
-	 * @param nowMs the present time in milliseconds since the epoch
-	 * @return this entry VM's share of the present allowances, at least one if any
-	 * endpoint of the service is available
+	 * @param nowMs the current time in milliseconds since the epoch
+	 * @return this entry VM's share of the current concurrency limits of the endpoints,
+	 * at least one if any endpoint of the service is available
 	 */
 	int concurrencyShare(String service, long nowMs);
 
--- a/core/src/main/java/org/fulmargap/routing/RouterSettings.java
+++ b/core/src/main/java/org/fulmargap/routing/RouterSettings.java
@@ -7,9 +7,9 @@
  *
  * @param vm the name of this entry VM
  * @param failureDomain the failure domain of this entry VM
- * @param initialConcurrency the allowance of an endpoint that has just started, over all
- * entry VMs
- * @param doublingMs the time of successful work in milliseconds in which the allowance
+ * @param initialConcurrency the concurrency limit of an endpoint that has just started,
+ * summed over all entry VMs
+ * @param doublingMs the time of work in milliseconds in which the concurrency limit
  * doubles
  * @param seed the seed of the random choices
  */
--- a/core/src/main/java/org/fulmargap/routing/ServiceStats.java
+++ b/core/src/main/java/org/fulmargap/routing/ServiceStats.java
@@ -22,7 +22,7 @@
 
 	private volatile long medianMs;
 
-	private volatile long highMs;
+	private volatile long p99Ms;
 
 	private volatile double baseMedianMs;
 
@@ -32,8 +32,8 @@
 		this.durations.add(durationMs, uncachedTokens);
 		this.samples++;
 		this.medianMs = this.durations.median();
-		this.highMs = this.durations.quantile(0.99);
-		// The first samples count equally, so that the estimate is of use early.
+		this.p99Ms = this.durations.quantile(0.99);
+		// The first samples have equal weights, so that the estimate is usable early.
 		double weight = Math.max(SAMPLE_WEIGHT, 1.0 / this.samples);
 		double tokens = uncachedTokens - this.meanTokens;
 		double ms = durationMs - this.meanMs;
@@ -46,9 +46,9 @@
 	}
 
 	/**
-	 * Returns the part of a duration that does not come from computing the prompt, so
-	 * that endpoints can be compared whose requests found different prefixes cached.
-	 * @param durationMs the duration of a call
+	 * Returns a duration without the time for computing the prompt, so that endpoints can
+	 * be compared whose requests had different numbers of cached prompt tokens.
+	 * @param durationMs the duration of a call in milliseconds
 	 * @param uncachedTokens the prompt tokens that the endpoint computed
 	 * @return milliseconds, at least zero
 	 */
@@ -64,8 +64,8 @@
 		return this.medianMs;
 	}
 
-	long highMs() {
-		return this.highMs;
+	long p99Ms() {
+		return this.p99Ms;
 	}
 
 	double msPerToken() {
--- a/core/src/main/java/org/fulmargap/routing/Topology.java
+++ b/core/src/main/java/org/fulmargap/routing/Topology.java
@@ -38,9 +38,9 @@
 	/**
 	 * The available endpoints of one service.
 	 *
-	 * @param own the endpoints of the own failure domain
-	 * @param others the endpoints of other failure domains
-	 * @param all the endpoints of all failure domains
+	 * @param own the endpoints in the failure domain of the entry VM
+	 * @param others the endpoints in other failure domains
+	 * @param all the endpoints in all failure domains
 	 */
 	record Service(List<String> own, List<String> others, List<String> all) {
 	}
--- a/core/src/main/java/org/fulmargap/routing/WarmUp.java
+++ b/core/src/main/java/org/fulmargap/routing/WarmUp.java
@@ -4,20 +4,20 @@
 import java.util.Deque;
 
 /**
- * Tracks the warm-up of one endpoint as one entry VM sees it. Not safe for use by several
+ * Tracks the warm-up of one endpoint as seen by one entry VM. Not safe for use by several
  * threads.
  */
 final class WarmUp {
 
-	/** Late messages name one of the last few incarnations. */
-	private static final int REMEMBERED_INCARNATIONS = 4;
+	/** Messages that arrive late name one of the last few incarnations. */
+	private static final int MAX_FORMER_INCARNATIONS = 4;
 
 	private static final int SLOW_ANSWERS_TO_RESTART = 5;
 
 	private static final int SLOW_FACTOR = 3;
 
-	/** Fewer answers give no reliable baseline. */
-	private static final int BASELINE_ANSWERS = 10;
+	/** The baseline is not reliable with fewer answers. */
+	private static final int MIN_BASELINE_ANSWERS = 10;
 
 	private final Deque<String> formerIncarnations = new ArrayDeque<>();
 
@@ -25,7 +25,7 @@
 
 	private String incarnation = "";
 
-	private long incarnationSeenMs = Long.MIN_VALUE;
+	private long lastIncarnationMs = Long.MIN_VALUE;
 
 	private long startMs;
 
@@ -35,15 +35,15 @@
 
 	private long advancedToMs;
 
-	private long workSeenMs = Long.MIN_VALUE;
+	private long lastWorkMs = Long.MIN_VALUE;
 
 	private int slowAnswers;
 
 	/**
 	 * Creates the state of an endpoint.
-	 * @param observed whether the endpoint is known to start now; if it is not, the start
-	 * is an assumption that is not sent to peers
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param observed whether the endpoint is known to start now; otherwise the start is
+	 * an assumption that is not sent to peers
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
 	WarmUp(boolean observed, long nowMs) {
 		this.observed = observed;
@@ -64,52 +64,54 @@
 	}
 
 	/**
-	 * Lets the warm-up advance. Time counts only while the endpoint works, except for an
-	 * entry VM without a share, which cannot see the work that others give it.
+	 * Advances the warm-up to the current time. Time counts only while the endpoint
+	 * processes requests. An entry VM without a share counts all time, because it does
+	 * not see the answers to the requests of other entry VMs.
 	 * @param hasShare whether this entry VM may send requests
-	 * @param doublingMs the time in which the allowance doubles
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param doublingMs the time in milliseconds in which the concurrency limit doubles
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
 	void advance(boolean hasShare, long doublingMs, long nowMs) {
-		boolean working = this.workSeenMs != Long.MIN_VALUE && nowMs - this.workSeenMs <= doublingMs;
+		boolean working = this.lastWorkMs != Long.MIN_VALUE && nowMs - this.lastWorkMs <= doublingMs;
 		if (working || !hasShare) {
 			this.workMs += Math.max(0, nowMs - this.advancedToMs);
 		}
 		this.advancedToMs = Math.max(this.advancedToMs, nowMs);
 	}
 
-	void workSeen(long nowMs) {
-		this.workSeenMs = Math.max(this.workSeenMs, nowMs);
+	void recordWork(long nowMs) {
+		this.lastWorkMs = Math.max(this.lastWorkMs, nowMs);
 	}
 
 	void restart(long nowMs) {
 		this.startMs = Math.max(nowMs, this.startMs);
 		this.observed = true;
-		begin(nowMs);
+		reset(nowMs);
 	}
 
 	/**
-	 * Merges a start that another entry VM observed.
-	 * @param peerStartMs the start
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * Merges a warm-up start that another entry VM observed.
+	 * @param peerStartMs the start in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return {@code true} if the warm-up starts again
 	 */
 	boolean merge(long peerStartMs, long nowMs) {
-		// A start in the future would suppress all later ones of this endpoint.
+		// After a start in the future, later starts would be ignored until that time.
 		long start = Math.min(peerStartMs, nowMs);
 		if (this.observed && start <= this.startMs) {
 			return false;
 		}
 		this.startMs = start;
 		this.observed = true;
-		begin(nowMs);
+		reset(nowMs);
 		return true;
 	}
 
 	/**
-	 * Takes the endpoint as warm, because it reports its full capacity and nobody
-	 * observed a start.
-	 * @param workMs the time of work that gives the full allowance
+	 * Marks the endpoint as warm if no start was observed. Called when it reports its
+	 * full capacity.
+	 * @param workMs the time of work in milliseconds after which the concurrency limit is
+	 * the full one
 	 */
 	void assumeWarm(long workMs) {
 		if (!this.observed) {
@@ -119,27 +121,28 @@
 
 	/**
 	 * Records the incarnation named in an answer or report.
-	 * @param seen the incarnation, empty if the endpoint gave none
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param reported the incarnation, empty if the endpoint gave none
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return {@code true} if the warm-up starts again
 	 */
-	boolean incarnationSeen(String seen, long nowMs) {
-		if (seen.isEmpty() || this.formerIncarnations.contains(seen)) {
+	boolean recordIncarnation(String reported, long nowMs) {
+		if (reported.isEmpty() || this.formerIncarnations.contains(reported)) {
 			return false;
 		}
-		boolean changed = !seen.equals(this.incarnation);
+		boolean changed = !reported.equals(this.incarnation);
 		boolean first = this.incarnation.isEmpty();
-		// A peer reported this restart already if the old incarnation was not seen since.
-		boolean known = this.observed && this.incarnationSeenMs < this.startMs;
+		// A peer has already reported this restart if the old incarnation was not
+		// observed after the start.
+		boolean alreadyReported = this.observed && this.lastIncarnationMs < this.startMs;
 		if (changed && !first) {
 			this.formerIncarnations.addLast(this.incarnation);
-			if (this.formerIncarnations.size() > REMEMBERED_INCARNATIONS) {
+			if (this.formerIncarnations.size() > MAX_FORMER_INCARNATIONS) {
 				this.formerIncarnations.removeFirst();
 			}
 		}
-		this.incarnation = seen;
-		this.incarnationSeenMs = nowMs;
-		if (changed && !first && !known) {
+		this.incarnation = reported;
+		this.lastIncarnationMs = nowMs;
+		if (changed && !first && !alreadyReported) {
 			restart(nowMs);
 			return true;
 		}
@@ -147,18 +150,19 @@
 	}
 
 	/**
-	 * Records the duration of an answer.
-	 * @param durationMs the duration without the time for computing the prompt
-	 * @param serviceMedianMs the median of all endpoints of the service; an endpoint is
-	 * not cold if the whole service became slower
-	 * @param sentAtMs when the call was sent
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * Records an answer and restarts the warm-up after five slow answers in a row.
+	 * @param durationMs the duration in milliseconds without the time for computing the
+	 * prompt
+	 * @param serviceMedianMs the median of all endpoints of the service in milliseconds;
+	 * an endpoint does not count as slow if the whole service is slower
+	 * @param sentAtMs when the call was sent, milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return {@code true} if the warm-up starts again
 	 */
-	boolean answered(long durationMs, double serviceMedianMs, long sentAtMs, long nowMs) {
-		workSeen(nowMs);
-		double usualMs = Math.max(this.baseline.median(), serviceMedianMs);
-		if (this.baseline.size() < BASELINE_ANSWERS || durationMs <= SLOW_FACTOR * usualMs) {
+	boolean recordAnswer(long durationMs, double serviceMedianMs, long sentAtMs, long nowMs) {
+		recordWork(nowMs);
+		double referenceMs = Math.max(this.baseline.median(), serviceMedianMs);
+		if (this.baseline.size() < MIN_BASELINE_ANSWERS || durationMs <= SLOW_FACTOR * referenceMs) {
 			this.baseline.add(durationMs);
 			this.slowAnswers = 0;
 			return false;
@@ -170,10 +174,10 @@
 		return false;
 	}
 
-	private void begin(long nowMs) {
+	private void reset(long nowMs) {
 		this.workMs = 0;
 		this.advancedToMs = nowMs;
-		this.workSeenMs = Long.MIN_VALUE;
+		this.lastWorkMs = Long.MIN_VALUE;
 		this.slowAnswers = 0;
 	}
 
--- a/core/src/main/java/org/fulmargap/routing/package-info.java
+++ b/core/src/main/java/org/fulmargap/routing/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Choice of the endpoint for each attempt.
+ * Selection of the endpoint for each attempt.
  */
 package org.fulmargap.routing;
--- a/core/src/test/java/org/fulmargap/routing/AdaptiveRouterTests.java
+++ b/core/src/test/java/org/fulmargap/routing/AdaptiveRouterTests.java
@@ -19,7 +19,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against work for endpoints that cannot do it.
+ * Guards against routing requests to endpoints that are down, overloaded, slow or cold.
  */
 class AdaptiveRouterTests {
 
@@ -102,7 +102,7 @@
 		}
 
 		@Test
-		void anEndpointThatIsOutGetsNoWorkAndReturnsCold() {
+		void anEndpointThatWasOutOfServiceGetsNoWorkAndReturnsCold() {
 			endpoint("a1", "a", 8);
 			update();
 			report("a1", "i1", 8);
@@ -161,7 +161,7 @@
 		}
 
 		@Test
-		void theAllowanceGrowsOnlyWhileTheEndpointWorks() {
+		void theConcurrencyLimitGrowsOnlyWhileTheEndpointWorks() {
 			endpoint("a1", "a", 8);
 			update();
 			report("a1", "i1", 4);
@@ -186,7 +186,7 @@
 			report("a1", "i1", 8);
 			fail(CallFailure.CONNECT_FAILED);
 			assertThat(fill(REQUEST)).isEmpty();
-			advance(EndpointHealth.FIRST_BACK_OFF_MS);
+			advance(EndpointHealth.INITIAL_BACKOFF_MS);
 			Reservation probe = router().select(REQUEST, now()).orElseThrow();
 			assertThat(fill(REQUEST)).isEmpty();
 			probe.succeeded(10, 0, "i1", now());
@@ -195,15 +195,15 @@
 		}
 
 		@Test
-		void theBackOffDoublesWhileProbesFail() {
+		void theBackoffDoublesWhileProbesFail() {
 			endpoint("a1", "a", 8);
 			update();
 			fail(CallFailure.CONNECT_FAILED);
-			advance(EndpointHealth.FIRST_BACK_OFF_MS);
+			advance(EndpointHealth.INITIAL_BACKOFF_MS);
 			fail(CallFailure.CONNECT_FAILED);
-			advance(EndpointHealth.FIRST_BACK_OFF_MS);
+			advance(EndpointHealth.INITIAL_BACKOFF_MS);
 			assertThat(fill(REQUEST)).isEmpty();
-			advance(EndpointHealth.FIRST_BACK_OFF_MS);
+			advance(EndpointHealth.INITIAL_BACKOFF_MS);
 			assertThat(fill(REQUEST)).hasSize(1);
 		}
 
@@ -283,7 +283,7 @@
 	class Prefixes {
 
 		@Test
-		void requestsWithTheSamePrefixGoToTheEndpointThatHoldsIt() {
+		void requestsWithTheSamePrefixAreSentToTheEndpointThatCachesIt() {
 			for (int i = 0; i < 8; i++) {
 				endpoint("a" + i, "a", 4);
 			}
@@ -306,7 +306,7 @@
 		}
 
 		@Test
-		void anEndpointThatIsKnownToHoldThePrefixIsPreferredToItsOwner() {
+		void anEndpointThatIsKnownToCacheThePrefixIsPreferredToItsOwner() {
 			endpoint("a1", "a", 4);
 			endpoint("a2", "a", 4);
 			update();
@@ -330,11 +330,11 @@
 		@Test
 		void theEstimateDecaysAfterAMinuteAndIsBounded() {
 			PrefixAffinity prefixes = new PrefixAffinity(2);
-			prefixes.answered("p", 1_000, 800, 0);
+			prefixes.recordAnswer("p", 1_000, 800, 0);
 			assertThat(prefixes.cachedTokens("p", 1_000, 60_000)).isEqualTo(800);
 			assertThat(prefixes.cachedTokens("p", 1_000, 120_000)).isEqualTo(400);
-			prefixes.event("q", 10, 0);
-			prefixes.event("r", 10, 0);
+			prefixes.recordCacheEvent("q", 10, 0);
+			prefixes.recordCacheEvent("r", 10, 0);
 			assertThat(prefixes.cachedTokens("p", 1_000, 0)).isZero();
 			assertThat(PrefixAffinity.isWorthQueueing(100, 800, 0.2)).isTrue();
 			assertThat(PrefixAffinity.isWorthQueueing(200, 800, 0.2)).isFalse();
--- a/core/src/test/java/org/fulmargap/routing/ConnectionLivenessTests.java
+++ b/core/src/test/java/org/fulmargap/routing/ConnectionLivenessTests.java
@@ -11,7 +11,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against waiting on silent connections and against abandoning slow calls.
+ * Guards against waiting on dead connections and against cancelling slow calls.
  */
 class ConnectionLivenessTests {
 
@@ -38,12 +38,12 @@
 		}
 
 		@Test
-		void aSlowAttemptIsWaitedFor() {
+		void waitsForASlowAttemptThatTheEndpointLists() {
 			assertThat(decide(4_000, Probe.ANSWERED, report(2_000, "vm-0/1/0/0"))).isEqualTo(Verdict.WAIT);
 		}
 
 		@Test
-		void aReportFromBeforeTheCallProvesNothing() {
+		void waitsIfTheReportIsNotNewerThanTheCall() {
 			assertThat(decide(400, Probe.ANSWERED, report(1_000))).isEqualTo(Verdict.WAIT);
 		}
 
@@ -55,7 +55,7 @@
 		}
 
 		@Test
-		void withoutLoadReportsTheConnectionIsDeadAfterHalfTheLimitMore() {
+		void withoutLoadReportsTheConnectionIsDeadAfterOneAndAHalfLimits() {
 			assertThat(decide(599, Probe.ANSWERED, Optional.empty())).isEqualTo(Verdict.WAIT);
 			assertThat(decide(600, Probe.ANSWERED, Optional.empty())).isEqualTo(Verdict.DEAD);
 		}
--- a/core/src/test/java/org/fulmargap/routing/CrashQuarantineProperties.java
+++ b/core/src/test/java/org/fulmargap/routing/CrashQuarantineProperties.java
@@ -17,13 +17,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against requests that crash one endpoint after the other, and against refusing
- * the requests that ran beside them.
+ * Guards against requests that crash several endpoints, and against refusing requests
+ * that were in flight at the same endpoint.
  */
 class CrashQuarantineProperties {
 
 	@Property(seed = "6201", tries = 300)
-	void convictsTheCrashingRequestAndNotItsNeighbours(@ForAll long seed) {
+	void quarantinesTheCrashingRequestAndNotConcurrentRequests(@ForAll long seed) {
 		Random random = new Random(seed);
 		List<CrashQuarantine> vms = List.of(new CrashQuarantine(1_000), new CrashQuarantine(1_000),
 				new CrashQuarantine(1_000));
@@ -49,10 +49,10 @@
 			isolated.merge(endpoint, isIsolated, Boolean::logicalOr);
 			if (request.equals("crashing")) {
 				crashes++;
-				// Peers hear of the strikes before the request arrives there again.
-				Map<String, List<String>> strikes = vm.recordCrash(endpoint, running.remove(endpoint), nowMs);
+				// Peers receive the crash reports before the request arrives there again.
+				Map<String, List<String>> reports = vm.recordCrash(endpoint, running.remove(endpoint), nowMs);
 				isolated.remove(endpoint);
-				vms.forEach((peer) -> peer.mergeCrashReports(strikes, nowMs));
+				vms.forEach((peer) -> peer.mergeCrashReports(reports, nowMs));
 			}
 			else if (random.nextInt(3) > 0) {
 				running.get(endpoint).forEach((done) -> vms.forEach((peer) -> peer.completed(done)));
@@ -68,12 +68,12 @@
 	}
 
 	@Nested
-	class Strikes {
+	class CrashReports {
 
 		private final CrashQuarantine quarantine = new CrashQuarantine(100);
 
 		@Test
-		void twoStrikesOnOneEndpointDoNotConvict() {
+		void twoReportsOfOneEndpointDoNotQuarantine() {
 			this.quarantine.recordCrash("m1", List.of("f"), 0);
 			this.quarantine.recordCrash("m1", List.of("f"), 1_000);
 			assertThat(this.quarantine.verdict("f", 1_000)).isEqualTo(Verdict.ISOLATED);
@@ -81,7 +81,7 @@
 		}
 
 		@Test
-		void aBrokenConnectionIsAStrikeOnlyIfTheEndpointIsFoundCrashed() {
+		void aLostConnectionIsACrashReportOnlyIfTheCrashIsConfirmed() {
 			this.quarantine.connectionLost("m1", "f", 0);
 			assertThat(this.quarantine.verdict("f", 100)).isEqualTo(Verdict.ISOLATED);
 			assertThat(this.quarantine.verdict("f", 10_000)).isEqualTo(Verdict.ALLOWED);
@@ -91,7 +91,7 @@
 		}
 
 		@Test
-		void aRequestThatCompletesLosesItsStrikeButNotItsQuarantine() {
+		void aCompletedRequestLosesItsCrashReportsButNotItsQuarantine() {
 			this.quarantine.recordCrash("m1", List.of("f", "g"), 0);
 			this.quarantine.recordCrash("m2", List.of("g"), 0);
 			this.quarantine.completed("f");
@@ -101,7 +101,7 @@
 		}
 
 		@Test
-		void theQuarantineLastsTenMinutesFromTheSecondStrike() {
+		void theQuarantineLastsTenMinutesFromTheSecondReport() {
 			this.quarantine.recordCrash("m1", List.of("f"), 0);
 			this.quarantine.recordCrash("m2", List.of("f"), 400_000);
 			assertThat(this.quarantine.verdict("f", 999_999)).isEqualTo(Verdict.QUARANTINED);
@@ -109,7 +109,7 @@
 		}
 
 		@Test
-		void repeatedHeartbeatsDoNotKeepAStrikeForEver() {
+		void repeatedHeartbeatsDoNotRenewACrashReport() {
 			CrashQuarantine peer = new CrashQuarantine(100);
 			this.quarantine.recordCrash("m1", List.of("f"), 0);
 			for (long nowMs = 500; nowMs < 2 * CrashQuarantine.LIFETIME_MS; nowMs += 500) {
--- a/core/src/test/java/org/fulmargap/routing/CrashQuarantineThresholdTests.java
+++ b/core/src/test/java/org/fulmargap/routing/CrashQuarantineThresholdTests.java
@@ -7,7 +7,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests of {@link CrashQuarantine} with a threshold of its own.
+ * Guards against refusing a request too early where {@link CrashQuarantine} has a
+ * threshold other than the default.
  */
 class CrashQuarantineThresholdTests {
 
@@ -24,7 +25,7 @@
 	}
 
 	@Test
-	void theThirdCrashWithoutASuccessBetweenKeepsARequestAway() {
+	void theThirdCrashWithoutASuccessBetweenQuarantinesARequest() {
 		for (String endpoint : List.of("one", "two", "three")) {
 			this.quarantine.recordCrash(endpoint, List.of("poison"), 0);
 		}
--- a/core/src/test/java/org/fulmargap/routing/SlowStartProperties.java
+++ b/core/src/test/java/org/fulmargap/routing/SlowStartProperties.java
@@ -17,25 +17,25 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against entry VMs that together send a cold endpoint more than it can take.
+ * Guards against entry VMs that together exceed the concurrency limit of a cold endpoint.
  */
 class SlowStartProperties {
 
 	private static final int MAX = 64;
 
 	@Property(seed = "5101", tries = 300)
-	void sharesOfAllRanksAddUpToTheAllowance(@ForAll @IntRange(min = 1, max = 320) int members,
-			@ForAll @IntRange(max = 1_000) int allowance) {
+	void sharesOfAllRanksAddUpToTheLimit(@ForAll @IntRange(min = 1, max = 320) int members,
+			@ForAll @IntRange(max = 1_000) int limit) {
 		List<String> names = names(members);
 		int sum = 0;
 		for (String vm : names) {
-			sum += SlowStart.share(allowance, SlowStart.rank("model-3", vm, names), members);
+			sum += SlowStart.share(limit, SlowStart.rank("model-3", vm, names), members);
 		}
-		assertThat(sum).isEqualTo(allowance);
+		assertThat(sum).isEqualTo(limit);
 	}
 
 	@Property(seed = "5102", tries = 150)
-	void requestsInFlightNeverExceedTheAllowanceSinceTheStart(@ForAll long seed,
+	void requestsInFlightNeverExceedTheLimitSinceTheStart(@ForAll long seed,
 			@ForAll @IntRange(min = 1, max = 9) int members) {
 		Random random = new Random(seed);
 		List<String> names = names(members);
@@ -55,7 +55,8 @@
 		for (int step = 0; step < 400; step++) {
 			nowMs += 1 + random.nextInt(60);
 			if (random.nextInt(80) == 0) {
-				// All connections break and every entry VM hears of the new process.
+				// All connections are lost, and every entry VM receives a report of the
+				// new process.
 				held.forEach(Reservation::close);
 				held.clear();
 				incarnation++;
@@ -79,9 +80,9 @@
 				.select(RouteRequest.forService("generate"), nowMs);
 			selected.ifPresent(held::add);
 			if (incarnation > 0) {
-				int allowed = new SlowStart(1, 2_000).allowance(nowMs - restartMs, MAX);
+				int limit = new SlowStart(1, 2_000).concurrencyLimit(nowMs - restartMs, MAX);
 				assertThat(held.size()).as("in flight %d ms after the start", nowMs - restartMs)
-					.isLessThanOrEqualTo(allowed);
+					.isLessThanOrEqualTo(limit);
 			}
 		}
 	}
