--- a/core/src/main/java/org/fulmargap/admission/AdmissionListener.java
+++ b/core/src/main/java/org/fulmargap/admission/AdmissionListener.java
@@ -3,18 +3,18 @@
 import org.fulmargap.request.FulmargapException;
 
 /**
- * Receives the decision about one request.
+ * Receives the admission decision for one request.
  */
 public interface AdmissionListener {
 
 	/**
-	 * The request may start.
-	 * @param permit the slot, to be closed when the request has ended
+	 * Called when the request may start.
+	 * @param permit the slot, to be released when the request has ended
 	 */
 	void admitted(Permit permit);
 
 	/**
-	 * The request is refused and has not run.
+	 * Called when the request is refused. It has not run.
 	 * @param refusal the typed refusal
 	 */
 	void refused(FulmargapException refusal);
@@ -25,8 +25,8 @@
 	interface Permit {
 
 		/**
-		 * Returns the slot. Further calls have no effect.
-		 * @param nowMs the present time in milliseconds since the epoch
+		 * Releases the slot. Further calls have no effect.
+		 * @param nowMs the current time in milliseconds since the epoch
 		 */
 		void release(long nowMs);
 
--- a/core/src/main/java/org/fulmargap/admission/AdmissionRefusedException.java
+++ b/core/src/main/java/org/fulmargap/admission/AdmissionRefusedException.java
@@ -4,7 +4,7 @@
 import org.fulmargap.request.FulmargapException;
 
 /**
- * Reports that a request was refused before it ran.
+ * Thrown when a request is refused before it runs.
  */
 public class AdmissionRefusedException extends FulmargapException {
 
@@ -13,11 +13,11 @@
 	private final long retryAfterMs;
 
 	/**
-	 * Creates a refusal.
+	 * Creates an exception.
 	 * @param type the type of the failure
 	 * @param reason a stable upper-case code
-	 * @param message a text for people
-	 * @param retryAfterMs the time in milliseconds after which a new try is useful
+	 * @param message a human-readable text
+	 * @param retryAfterMs the time in milliseconds after which a retry may succeed
 	 */
 	public AdmissionRefusedException(FailureType type, String reason, String message, long retryAfterMs) {
 		super(type, reason, message);
--- a/core/src/main/java/org/fulmargap/admission/AdmissionRequest.java
+++ b/core/src/main/java/org/fulmargap/admission/AdmissionRequest.java
@@ -12,7 +12,7 @@
  * @param weight the share of the account under contention, at least one
  * @param priority the priority of the request
  * @param deadline the deadline of the request
- * @param expectedMs the expected time in milliseconds from start to answer
+ * @param expectedMs the expected time in milliseconds from the start to the answer
  */
 public record AdmissionRequest(String account, int weight, Priority priority, Deadline deadline, long expectedMs) {
 
--- a/core/src/main/java/org/fulmargap/admission/FairAdmission.java
+++ b/core/src/main/java/org/fulmargap/admission/FairAdmission.java
@@ -16,33 +16,37 @@
 
 /**
  * Admits requests by weighted deficit round robin over the queues of the client accounts.
- * Higher priorities are served first. A slot is never idle while a request waits. A
- * request that cannot meet its deadline is refused when it arrives.
+ * Higher priorities are served first. No slot stays idle while a request waits. A request
+ * that is not expected to meet its deadline is refused when it arrives.
  */
 public final class FairAdmission implements AdmissionController {
 
 	/**
-	 * The credit per unit of weight and round in milliseconds of expected work. It has
-	 * the size of one usual request, which keeps rounds short.
+	 * The quantum per unit of weight and round, in milliseconds of expected work. It is
+	 * about the cost of one typical request, which keeps rounds short.
 	 */
 	static final long QUANTUM_MS = 1_000;
 
-	private static final int HOLD_RATIOS = 256;
+	private static final int RATIO_WINDOW = 256;
 
 	/**
-	 * Under contention each request starts late, so one that takes longer than expected
-	 * would miss its deadline and waste its work. This part of the requests must fit.
+	 * Under contention each request starts late, so a request that takes longer than
+	 * expected would miss its deadline and its work would be wasted. The remaining time
+	 * must suffice for this fraction of the recent requests.
 	 */
-	private static final double FITTING_PART = 0.95;
+	private static final double FIT_QUANTILE = 0.95;
 
-	/** Keeps a few very slow endpoints from causing the refusal of everything. */
-	private static final double MAX_RATIO = 1.6;
+	/**
+	 * Upper bound of the recorded ratios. Without it a few very slow endpoints would
+	 * cause all requests to be refused.
+	 */
+	private static final double MAX_DURATION_RATIO = 1.6;
 
 	private final int maxQueuedPerAccount;
 
 	private final int maxQueued;
 
-	private final Map<Priority, Level> levels = new EnumMap<>(Priority.class);
+	private final Map<Priority, PriorityLevel> levels = new EnumMap<>(Priority.class);
 
 	private int slots;
 
@@ -50,9 +54,9 @@
 
 	private int queued;
 
-	private final double[] holdRatios = new double[HOLD_RATIOS];
+	private final double[] durationRatios = new double[RATIO_WINDOW];
 
-	private int holds;
+	private int ratioCount;
 
 	private double meanRatio = 1;
 
@@ -61,9 +65,9 @@
 	/**
 	 * Creates a controller without requests.
 	 * @param slots the number of requests that may run at the same time, at least one
-	 * @param maxQueuedPerAccount the highest number of waiting requests per account and
+	 * @param maxQueuedPerAccount the maximum number of waiting requests per account and
 	 * priority
-	 * @param maxQueued the highest number of waiting requests in total
+	 * @param maxQueued the maximum number of waiting requests in total
 	 */
 	public FairAdmission(int slots, int maxQueuedPerAccount, int maxQueued) {
 		if (slots < 1 || maxQueuedPerAccount < 1 || maxQueued < 1) {
@@ -73,7 +77,7 @@
 		this.maxQueuedPerAccount = maxQueuedPerAccount;
 		this.maxQueued = maxQueued;
 		for (Priority priority : Priority.values()) {
-			this.levels.put(priority, new Level());
+			this.levels.put(priority, new PriorityLevel());
 		}
 	}
 
@@ -81,7 +85,7 @@
 	public void admit(AdmissionRequest request, long nowMs, AdmissionListener listener) {
 		List<Runnable> decisions = new ArrayList<>();
 		synchronized (this) {
-			Waiting waiting = new Waiting(request, listener);
+			QueuedRequest waiting = new QueuedRequest(request, listener);
 			long waitMs = (this.running < this.slots) ? 0 : expectedWaitMs(request);
 			if (this.running < this.slots && !waiting.isUnreachable(nowMs, 0, 1)) {
 				start(waiting, nowMs, decisions);
@@ -106,8 +110,8 @@
 	public void expire(long nowMs) {
 		List<Runnable> decisions = new ArrayList<>();
 		synchronized (this) {
-			for (Level level : this.levels.values()) {
-				for (Waiting waiting : level.removeUnreachable(nowMs, this.highRatio)) {
+			for (PriorityLevel level : this.levels.values()) {
+				for (QueuedRequest waiting : level.removeUnreachable(nowMs, this.highRatio)) {
 					this.queued--;
 					refuseUnreachable(waiting, 0, decisions);
 				}
@@ -131,7 +135,7 @@
 
 	/**
 	 * Returns the number of waiting requests.
-	 * @return the length of all queues together
+	 * @return the total length of all queues
 	 */
 	public synchronized int queued() {
 		return this.queued;
@@ -150,27 +154,28 @@
 		synchronized (this) {
 			this.running--;
 			if (request.expectedMs() > 0) {
-				learn(Math.min(MAX_RATIO, (double) (nowMs - startedMs) / request.expectedMs()));
+				recordRatio(Math.min(MAX_DURATION_RATIO, (double) (nowMs - startedMs) / request.expectedMs()));
 			}
 			dispatch(nowMs, decisions);
 		}
 		decisions.forEach(Runnable::run);
 	}
 
-	private void learn(double ratio) {
+	private void recordRatio(double ratio) {
 		this.meanRatio += (ratio - this.meanRatio) / 32;
-		this.holdRatios[this.holds++ % HOLD_RATIOS] = ratio;
-		// Sorting on every release would cost more than the estimate is worth.
-		if (this.holds % (HOLD_RATIOS / 8) == 0) {
-			double[] sorted = Arrays.copyOf(this.holdRatios, Math.min(this.holds, HOLD_RATIOS));
+		this.durationRatios[this.ratioCount++ % RATIO_WINDOW] = ratio;
+		// Sorts only once in 32 releases, because sorting on each release is too
+		// expensive for this estimate.
+		if (this.ratioCount % (RATIO_WINDOW / 8) == 0) {
+			double[] sorted = Arrays.copyOf(this.durationRatios, Math.min(this.ratioCount, RATIO_WINDOW));
 			Arrays.sort(sorted);
-			this.highRatio = Math.max(1, sorted[(int) (FITTING_PART * sorted.length)]);
+			this.highRatio = Math.max(1, sorted[(int) (FIT_QUANTILE * sorted.length)]);
 		}
 	}
 
 	private void dispatch(long nowMs, List<Runnable> decisions) {
 		while (this.running < this.slots && this.queued > 0) {
-			Waiting waiting = next();
+			QueuedRequest waiting = next();
 			this.queued--;
 			if (waiting.isUnreachable(nowMs, 0, this.highRatio)) {
 				refuseUnreachable(waiting, 0, decisions);
@@ -181,18 +186,18 @@
 		}
 	}
 
-	private Waiting next() {
+	private QueuedRequest next() {
 		Priority[] priorities = Priority.values();
 		for (int i = priorities.length - 1; i >= 0; i--) {
-			Level level = this.levels.get(priorities[i]);
-			if (!level.ring.isEmpty()) {
+			PriorityLevel level = this.levels.get(priorities[i]);
+			if (!level.activeQueues.isEmpty()) {
 				return level.next();
 			}
 		}
 		throw new IllegalStateException("no request is waiting");
 	}
 
-	private void start(Waiting waiting, long nowMs, List<Runnable> decisions) {
+	private void start(QueuedRequest waiting, long nowMs, List<Runnable> decisions) {
 		this.running++;
 		AtomicBoolean released = new AtomicBoolean();
 		AdmissionListener.Permit permit = (releasedMs) -> {
@@ -203,21 +208,22 @@
 		decisions.add(() -> waiting.listener.admitted(permit));
 	}
 
-	private void refuseUnreachable(Waiting waiting, long waitMs, List<Runnable> decisions) {
+	private void refuseUnreachable(QueuedRequest waiting, long waitMs, List<Runnable> decisions) {
 		decisions.add(() -> waiting.listener.refused(new AdmissionRefusedException(FailureType.NOT_RUN,
 				"DEADLINE_UNREACHABLE", "the request cannot be answered before its deadline", Math.max(1, waitMs))));
 	}
 
-	// Until a new request starts, its account is served what the account has queued, and
-	// the other accounts are served at most their weighted part.
+	// Before a new request starts, all queued requests of higher priorities and of its
+	// own account are served, and requests of the other accounts up to their weighted
+	// share.
 	private long expectedWaitMs(AdmissionRequest request) {
 		double aheadMs = cost(request);
-		for (Map.Entry<Priority, Level> entry : this.levels.entrySet()) {
+		for (Map.Entry<Priority, PriorityLevel> entry : this.levels.entrySet()) {
 			if (entry.getKey().compareTo(request.priority()) > 0) {
 				aheadMs += entry.getValue().costMs;
 			}
 		}
-		Level level = this.levels.get(request.priority());
+		PriorityLevel level = this.levels.get(request.priority());
 		AccountQueue own = level.queues.get(request.account());
 		long ownMs = (own != null) ? own.costMs : 0;
 		long ownWeight = (own != null) ? own.weight : 0;
@@ -231,13 +237,13 @@
 	}
 
 	/**
-	 * The queues of one priority.
+	 * The account queues of one priority.
 	 */
-	private static final class Level {
+	private static final class PriorityLevel {
 
 		private final Map<String, AccountQueue> queues = new HashMap<>();
 
-		private final Deque<AccountQueue> ring = new ArrayDeque<>();
+		private final Deque<AccountQueue> activeQueues = new ArrayDeque<>();
 
 		private long costMs;
 
@@ -248,12 +254,12 @@
 			return (queue != null) ? queue.requests.size() : 0;
 		}
 
-		private void add(Waiting waiting) {
+		private void add(QueuedRequest waiting) {
 			AccountQueue queue = this.queues.get(waiting.request.account());
 			if (queue == null) {
 				queue = new AccountQueue(waiting.request.account(), waiting.request.weight());
 				this.queues.put(queue.account, queue);
-				this.ring.addLast(queue);
+				this.activeQueues.addLast(queue);
 				this.weight += queue.weight;
 			}
 			queue.requests.addLast(waiting);
@@ -261,33 +267,33 @@
 			this.costMs += cost(waiting.request);
 		}
 
-		private Waiting next() {
+		private QueuedRequest next() {
 			while (true) {
-				AccountQueue queue = this.ring.getFirst();
-				if (!queue.hasTurn) {
-					queue.hasTurn = true;
+				AccountQueue queue = this.activeQueues.getFirst();
+				if (!queue.quantumAdded) {
+					queue.quantumAdded = true;
 					queue.deficitMs += QUANTUM_MS * queue.weight;
 				}
 				long headMs = cost(queue.requests.getFirst().request);
 				if (headMs <= queue.deficitMs) {
 					queue.deficitMs -= headMs;
-					Waiting waiting = queue.requests.removeFirst();
-					removed(queue, waiting);
+					QueuedRequest waiting = queue.requests.removeFirst();
+					afterRemoval(queue, waiting);
 					return waiting;
 				}
-				queue.hasTurn = false;
-				this.ring.addLast(this.ring.removeFirst());
+				queue.quantumAdded = false;
+				this.activeQueues.addLast(this.activeQueues.removeFirst());
 			}
 		}
 
-		private List<Waiting> removeUnreachable(long nowMs, double ratio) {
-			List<Waiting> removed = new ArrayList<>();
-			for (AccountQueue queue : List.copyOf(this.ring)) {
-				for (Iterator<Waiting> i = queue.requests.iterator(); i.hasNext();) {
-					Waiting waiting = i.next();
+		private List<QueuedRequest> removeUnreachable(long nowMs, double ratio) {
+			List<QueuedRequest> removed = new ArrayList<>();
+			for (AccountQueue queue : List.copyOf(this.activeQueues)) {
+				for (Iterator<QueuedRequest> i = queue.requests.iterator(); i.hasNext();) {
+					QueuedRequest waiting = i.next();
 					if (waiting.isUnreachable(nowMs, 0, ratio)) {
 						i.remove();
-						removed(queue, waiting);
+						afterRemoval(queue, waiting);
 						removed.add(waiting);
 					}
 				}
@@ -295,12 +301,12 @@
 			return removed;
 		}
 
-		private void removed(AccountQueue queue, Waiting waiting) {
+		private void afterRemoval(AccountQueue queue, QueuedRequest waiting) {
 			queue.costMs -= cost(waiting.request);
 			this.costMs -= cost(waiting.request);
 			if (queue.requests.isEmpty()) {
 				this.queues.remove(queue.account);
-				this.ring.remove(queue);
+				this.activeQueues.remove(queue);
 				this.weight -= queue.weight;
 			}
 		}
@@ -316,13 +322,13 @@
 
 		private final int weight;
 
-		private final Deque<Waiting> requests = new ArrayDeque<>();
+		private final Deque<QueuedRequest> requests = new ArrayDeque<>();
 
 		private long costMs;
 
 		private long deficitMs;
 
-		private boolean hasTurn;
+		private boolean quantumAdded;
 
 		private AccountQueue(String account, int weight) {
 			this.account = account;
@@ -331,7 +337,7 @@
 
 	}
 
-	private record Waiting(AdmissionRequest request, AdmissionListener listener) {
+	private record QueuedRequest(AdmissionRequest request, AdmissionListener listener) {
 
 		private boolean isUnreachable(long nowMs, long waitMs, double ratio) {
 			return this.request.deadline().isPassed(nowMs)
--- a/core/src/main/java/org/fulmargap/admission/RetryBudget.java
+++ b/core/src/main/java/org/fulmargap/admission/RetryBudget.java
@@ -3,12 +3,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Bounds the retries of each service to a fraction of its first attempts, so that retries
- * cannot multiply the load of a failing service. Safe for use by several threads.
+ * Limits the retries of each service to a fraction of its first attempts, so that retries
+ * do not multiply the load of a failing service. Safe for use by several threads.
  */
 public final class RetryBudget {
 
-	/** The highest number of attempts per stage of one request. */
+	/** The maximum number of attempts per stage of one request. */
 	public static final int MAX_ATTEMPTS = 3;
 
 	private static final int TENTHS_PER_RETRY = 10;
@@ -18,7 +18,8 @@
 	private final ConcurrentHashMap<String, Integer> tenths = new ConcurrentHashMap<>();
 
 	/**
-	 * Records a first attempt, which earns a tenth of a retry.
+	 * Records a first attempt, which adds a tenth of a retry to the budget of the
+	 * service.
 	 * @param service the service
 	 */
 	public void recordFirstAttempt(String service) {
@@ -26,10 +27,10 @@
 	}
 
 	/**
-	 * Takes one retry from the budget of a service. A bucket starts full, so that a
-	 * freshly started entry VM can replace the attempts that meet a dead endpoint.
+	 * Takes one retry from the budget of a service. A budget starts full, so that an
+	 * entry VM that has just started can retry the attempts that fail on a dead endpoint.
 	 * @param service the service
-	 * @param attempts the attempts that the request made at this stage so far
+	 * @param attempts the number of attempts that the request has made at this stage
 	 * @return {@code true} if another attempt may be made
 	 */
 	public boolean tryRetry(String service, int attempts) {
@@ -38,9 +39,9 @@
 		}
 		boolean[] taken = new boolean[1];
 		this.tenths.compute(service, (name, stored) -> {
-			int present = (stored != null) ? stored : MAX_TENTHS;
-			taken[0] = present >= TENTHS_PER_RETRY;
-			return (taken[0]) ? present - TENTHS_PER_RETRY : present;
+			int available = (stored != null) ? stored : MAX_TENTHS;
+			taken[0] = available >= TENTHS_PER_RETRY;
+			return (taken[0]) ? available - TENTHS_PER_RETRY : available;
 		});
 		return taken[0];
 	}
--- a/core/src/main/java/org/fulmargap/admission/StageBudgets.java
+++ b/core/src/main/java/org/fulmargap/admission/StageBudgets.java
@@ -9,14 +9,14 @@
 import org.fulmargap.request.Deadline;
 
 /**
- * Divides the time until the deadline over the stages of a pipeline.
+ * Divides the time until the deadline among the stages of a pipeline.
  */
 public final class StageBudgets {
 
 	private final ToLongFunction<String> expectedStageMs;
 
 	/**
-	 * Creates the division.
+	 * Creates an instance.
 	 * @param expectedStageMs returns the expected duration of a stage call in
 	 * milliseconds by service, zero if it is unknown
 	 */
@@ -25,9 +25,9 @@
 	}
 
 	/**
-	 * Returns the expected time of the stages from one stage to the end.
+	 * Returns the total expected time of a stage and the stages after it.
 	 * @param pipeline the pipeline
-	 * @param fromStage the index of the first stage that counts
+	 * @param fromStage the index of the first stage to include
 	 * @return milliseconds
 	 */
 	public long expectedMs(PipelineSpec pipeline, int fromStage) {
@@ -43,8 +43,9 @@
 	 * @param pipeline the pipeline
 	 * @param stageIndex the index of the stage
 	 * @param deadline the deadline of the request
-	 * @param nowMs the present time in milliseconds since the epoch
-	 * @return milliseconds, zero if the later stages could not end before the deadline
+	 * @param nowMs the current time in milliseconds since the epoch
+	 * @return milliseconds, zero if the later stages are not expected to end before the
+	 * deadline
 	 */
 	public long limitMs(PipelineSpec pipeline, int stageIndex, Deadline deadline, long nowMs) {
 		return Math.max(0, deadline.remainingMs(nowMs) - expectedMs(pipeline, stageIndex + 1));
@@ -52,9 +53,9 @@
 
 	/**
 	 * Returns the number of requests of a pipeline that may run at the same time. A
-	 * request occupies a stage only for that stage's part of its total time, so each
-	 * stage allows its share multiplied by total time over stage time, and the lowest
-	 * stage decides.
+	 * request occupies a stage only for a part of its total time, so each stage admits
+	 * its concurrency share multiplied by the total time and divided by the stage time.
+	 * The stage that admits the fewest requests sets the limit.
 	 * @param pipeline the pipeline
 	 * @param share returns the number of concurrent calls that this entry VM may make by
 	 * service
@@ -72,7 +73,7 @@
 		if (slots == Long.MAX_VALUE) {
 			slots = pipeline.stages().stream().mapToInt((stage) -> share.applyAsInt(stage.service())).min().orElse(1);
 		}
-		// One more keeps the lowest stage busy while a request passes through the others.
+		// One more slot keeps the limiting stage busy while a request is in the others.
 		return (int) Math.max(1, Math.min(slots + 1, Integer.MAX_VALUE));
 	}
 
--- a/core/src/main/java/org/fulmargap/admission/package-info.java
+++ b/core/src/main/java/org/fulmargap/admission/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Admission of requests, retry budgets and the division of deadlines over stages.
+ * Admission of requests, retry budgets and time budgets of stages.
  */
 package org.fulmargap.admission;
--- a/core/src/test/java/org/fulmargap/admission/FairAdmissionProperties.java
+++ b/core/src/test/java/org/fulmargap/admission/FairAdmissionProperties.java
@@ -16,7 +16,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against unfair or idle scheduling, by comparison with a naive scheduler.
+ * Guards against unfair scheduling and idle slots, by comparison with a naive scheduler.
  */
 class FairAdmissionProperties {
 
@@ -79,7 +79,8 @@
 			for (int b = 0; b < WEIGHTS.length; b++) {
 				double difference = served.getOrDefault(a, 0L) / (double) WEIGHTS[a]
 						- served.getOrDefault(b, 0L) / (double) WEIGHTS[b];
-				// One round of credit and one request of overhang on either side.
+				// The difference is at most one quantum plus one request for each
+				// account.
 				assertThat(difference).isLessThanOrEqualTo(FairAdmission.QUANTUM_MS + 2 * maxCost);
 			}
 		}
--- a/core/src/test/java/org/fulmargap/admission/NaiveFairScheduler.java
+++ b/core/src/test/java/org/fulmargap/admission/NaiveFairScheduler.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * Weighted deficit round robin written down as in the textbook, without regard to speed.
+ * Reference implementation of weighted deficit round robin, simple and not optimized.
  */
 final class NaiveFairScheduler {
 
@@ -16,7 +16,7 @@
 
 	private final Map<String, Long> deficits = new HashMap<>();
 
-	private final List<String> turns = new ArrayList<>();
+	private final List<String> withQuantum = new ArrayList<>();
 
 	int running;
 
@@ -56,8 +56,8 @@
 		while (true) {
 			String queue = this.order.stream().filter((name) -> name.startsWith(highest + ":")).findFirst().get();
 			Item head = items(queue).get(0);
-			if (!this.turns.contains(queue)) {
-				this.turns.add(queue);
+			if (!this.withQuantum.contains(queue)) {
+				this.withQuantum.add(queue);
 				this.deficits.merge(queue, FairAdmission.QUANTUM_MS * head.weight(), Long::sum);
 			}
 			if (this.deficits.get(queue) >= head.cost()) {
@@ -66,11 +66,11 @@
 				if (items(queue).isEmpty()) {
 					this.order.remove(queue);
 					this.deficits.remove(queue);
-					this.turns.remove(queue);
+					this.withQuantum.remove(queue);
 				}
 				return head;
 			}
-			this.turns.remove(queue);
+			this.withQuantum.remove(queue);
 			this.order.remove(queue);
 			this.order.add(queue);
 		}
--- a/core/src/test/java/org/fulmargap/admission/RetryBudgetTests.java
+++ b/core/src/test/java/org/fulmargap/admission/RetryBudgetTests.java
@@ -13,7 +13,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against retry storms and against stages that use up the time of later ones.
+ * Guards against retry storms and against stages that use the time of later stages.
  */
 class RetryBudgetTests {
 
@@ -21,7 +21,7 @@
 	class Budget {
 
 		@Test
-		void allowsOneRetryPerTenFirstAttemptsOnceTheStoreIsEmpty() {
+		void allowsOneRetryPerTenFirstAttemptsOnceTheBudgetIsEmpty() {
 			RetryBudget budget = new RetryBudget();
 			int retries = 0;
 			for (int i = 0; i < 1_000; i++) {
@@ -32,7 +32,7 @@
 		}
 
 		@Test
-		void storesNoMoreThanTenRetries() {
+		void holdsNoMoreThanTenRetries() {
 			RetryBudget budget = new RetryBudget();
 			for (int i = 0; i < 1_000; i++) {
 				budget.recordFirstAttempt("generate");
