--- a/core/src/main/java/org/fulmargap/request/AttemptId.java
+++ b/core/src/main/java/org/fulmargap/request/AttemptId.java
@@ -22,7 +22,7 @@
 			throw new IllegalArgumentException("incarnation must not be empty or contain '/': " + incarnation);
 		}
 		if (requestNumber < 0 || stageIndex < 0 || attempt < 0) {
-			throw new IllegalArgumentException("numbers must not be negative");
+			throw new IllegalArgumentException("requestNumber, stageIndex and attempt must not be negative");
 		}
 	}
 
@@ -30,7 +30,7 @@
 	 * Parses the text form.
 	 * @param text four parts separated by slashes, as {@link #toString()} returns
 	 * @return the identity
-	 * @throws IllegalArgumentException if the text has another form
+	 * @throws IllegalArgumentException if the text has a different form
 	 */
 	public static AttemptId parse(String text) {
 		String[] parts = Objects.requireNonNull(text, "text").split("/", -1);
--- a/core/src/main/java/org/fulmargap/request/Deadline.java
+++ b/core/src/main/java/org/fulmargap/request/Deadline.java
@@ -1,15 +1,15 @@
 package org.fulmargap.request;
 
 /**
- * Point in time after which an answer is of no use to the caller.
+ * Point in time after which the caller no longer needs an answer.
  *
  * @param atMs the deadline in milliseconds since the epoch
  */
 public record Deadline(long atMs) {
 
 	/**
-	 * Creates a deadline relative to the present time.
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * Creates a deadline relative to the current time.
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @param durationMs the time until the deadline in milliseconds, positive
 	 * @return the deadline
 	 * @throws IllegalArgumentException if the duration is not positive
@@ -22,8 +22,8 @@
 	}
 
 	/**
-	 * Returns the time that remains.
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * Returns the time until the deadline.
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return the remaining time in milliseconds, zero if the deadline has passed
 	 */
 	public long remainingMs(long nowMs) {
@@ -31,8 +31,8 @@
 	}
 
 	/**
-	 * Tells whether the deadline has passed.
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * Returns whether the deadline has passed.
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return {@code true} if no time remains
 	 */
 	public boolean isPassed(long nowMs) {
--- a/core/src/main/java/org/fulmargap/request/DispatchState.java
+++ b/core/src/main/java/org/fulmargap/request/DispatchState.java
@@ -1,7 +1,7 @@
 package org.fulmargap.request;
 
 /**
- * How far the dispatch of one attempt got. A request may be reported as not run only if
+ * Progress of the dispatch of one attempt. A request may be reported as not run only if
  * every attempt is still {@link #NOT_SENT}.
  */
 public enum DispatchState {
@@ -16,8 +16,9 @@
 	ANSWERED;
 
 	/**
-	 * Tells whether the endpoint may have run the attempt.
-	 * @return {@code false} only if the attempt provably never reached the endpoint
+	 * Returns whether the endpoint may have run the attempt.
+	 * @return {@code false} only if it is certain that the attempt did not reach the
+	 * endpoint
 	 */
 	public boolean mayHaveRun() {
 		return this != NOT_SENT;
--- a/core/src/main/java/org/fulmargap/request/FailureType.java
+++ b/core/src/main/java/org/fulmargap/request/FailureType.java
@@ -1,8 +1,8 @@
 package org.fulmargap.request;
 
 /**
- * Types of failure that a caller can receive. Each type has an HTTP status and states
- * whether the request is known not to have run.
+ * Types of failures reported to callers. Each type has an HTTP status and states whether
+ * the request is known not to have run.
  */
 public enum FailureType {
 
@@ -30,13 +30,15 @@
 	/** The idempotency key is older than the time for which claims are kept. */
 	KEY_EXPIRED(410, false),
 
-	/** The request crashed several endpoints and is refused for a while. */
+	/**
+	 * The request crashed several endpoints and is refused until its quarantine expires.
+	 */
 	REQUEST_QUARANTINED(422, false),
 
-	/** The client account or the entry VM has no capacity left for this request. */
+	/** The client account or the entry VM has no free capacity for this request. */
 	OVERLOADED(429, true),
 
-	/** The request provably never reached an endpoint. */
+	/** It is certain that the request did not reach an endpoint. */
 	NOT_RUN(503, true),
 
 	/** The request may have run, and its result is not known. */
@@ -45,7 +47,7 @@
 	/** The deadline passed before the answer was complete. */
 	DEADLINE_EXCEEDED(504, false),
 
-	/** A stage failed on every attempt that was allowed. */
+	/** A stage failed on each permitted attempt. */
 	STAGE_FAILED(502, false);
 
 	private final int httpStatus;
@@ -66,7 +68,7 @@
 	}
 
 	/**
-	 * Tells whether this type guarantees that no endpoint ran the request.
+	 * Returns whether this type guarantees that no endpoint ran the request.
 	 * @return {@code true} if the request did not run
 	 */
 	public boolean isNotRun() {
--- a/core/src/main/java/org/fulmargap/request/FulmargapException.java
+++ b/core/src/main/java/org/fulmargap/request/FulmargapException.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * Reports a typed failure. Subclasses may add data about the failure.
+ * Reports a failure with its type. Subclasses may add details.
  */
 public class FulmargapException extends Exception {
 
@@ -14,21 +14,21 @@
 	private final String reason;
 
 	/**
-	 * Creates a failure.
+	 * Creates an exception.
 	 * @param type the type of the failure
-	 * @param reason a stable upper-case code that tells apart causes of the same type,
+	 * @param reason a stable upper-case code that distinguishes causes of the same type,
 	 * for example {@code LOG_UNAVAILABLE}
-	 * @param message a text for people
+	 * @param message a human-readable text
 	 */
 	public FulmargapException(FailureType type, String reason, String message) {
 		this(type, reason, message, null);
 	}
 
 	/**
-	 * Creates a failure with a cause.
+	 * Creates an exception with a cause.
 	 * @param type the type of the failure
-	 * @param reason a stable upper-case code that tells apart causes of the same type
-	 * @param message a text for people
+	 * @param reason a stable upper-case code that distinguishes causes of the same type
+	 * @param message a human-readable text
 	 * @param cause the cause, or {@code null}
 	 */
 	public FulmargapException(FailureType type, String reason, String message, Throwable cause) {
@@ -46,7 +46,7 @@
 	}
 
 	/**
-	 * Returns the code that tells apart causes of the same type.
+	 * Returns the code that distinguishes causes of the same type.
 	 * @return an upper-case code
 	 */
 	public String reason() {
--- a/core/src/main/java/org/fulmargap/request/Priority.java
+++ b/core/src/main/java/org/fulmargap/request/Priority.java
@@ -1,18 +1,18 @@
 package org.fulmargap.request;
 
 /**
- * Priority of a request. Higher priorities are served first within the share of a client
- * account.
+ * Priority of a request. Waiting requests of a higher priority are admitted first, across
+ * all client accounts.
  */
 public enum Priority {
 
-	/** Served when nothing of a higher priority waits. */
+	/** Admitted when no request of a higher priority waits. */
 	LOW,
 
 	/** The default. */
 	NORMAL,
 
-	/** Served first. */
+	/** Admitted first. */
 	HIGH;
 
 	/**
--- a/core/src/test/java/org/fulmargap/request/AttemptIdTests.java
+++ b/core/src/test/java/org/fulmargap/request/AttemptIdTests.java
@@ -7,8 +7,8 @@
 import static org.assertj.core.api.Assertions.assertThatIllegalArgumentException;
 
 /**
- * Guards against answers that are matched to the wrong attempt because of an ambiguous
- * text form.
+ * Guards against an ambiguous text form, with which an answer could be matched to the
+ * wrong attempt.
  */
 class AttemptIdTests {
 
@@ -16,7 +16,7 @@
 	class Parsing {
 
 		@Test
-		void returnsTheIdentityThatWasWritten() {
+		void parsesTheTextFormOfAnIdentity() {
 			AttemptId id = new AttemptId("vm1-7", 42, 2, 1);
 			assertThat(AttemptId.parse(id.toString())).isEqualTo(id);
 		}
