--- a/core/src/main/java/org/fulmargap/claim/ClaimBatch.java
+++ b/core/src/main/java/org/fulmargap/claim/ClaimBatch.java
@@ -11,11 +11,11 @@
 import org.fulmargap.config.RecordFormatException;
 
 /**
- * Codec for the records that one append to the claims stream carries.
+ * Converts the records of one append to the claims stream to and from JSON.
  */
 public final class ClaimBatch {
 
-	/** The highest number of records of a batch. Ranks leave 12 bits for the index. */
+	/** The maximum number of records in a batch. Ranks use 12 bits for the index. */
 	public static final int MAX_RECORDS = 4096;
 
 	private ClaimBatch() {
@@ -28,26 +28,26 @@
 	 */
 	public static JsonNode toJson(List<ClaimRecord> records) {
 		if (records.isEmpty() || records.size() > MAX_RECORDS) {
-			throw new IllegalArgumentException("a batch has 1 to " + MAX_RECORDS + " records: " + records.size());
+			throw new IllegalArgumentException("a batch must have 1 to " + MAX_RECORDS + " records: " + records.size());
 		}
 		ObjectNode batch = Json.mapper().createObjectNode();
 		ArrayNode array = batch.putArray("records");
-		// Each value is written by itself: writing the list would lose the type property.
+		// Converting the whole list would omit the type property of the records.
 		records.forEach((record) -> array.add(Json.mapper().<JsonNode>valueToTree(record)));
 		return batch;
 	}
 
 	/**
-	 * Reads a batch. A record that cannot be parsed is left out and the others keep their
-	 * index.
+	 * Reads a batch. A record that cannot be parsed keeps its place in the list, so that
+	 * the other records keep their index.
 	 * @param value the value stored in the stream
-	 * @return the records; a record that cannot be parsed has no content
+	 * @return the records in order, each with its content or a parse error
 	 * @throws JsonProcessingException if the value is not a batch
 	 */
 	public static List<Parsed> fromJson(JsonNode value) throws JsonProcessingException {
 		JsonNode array = value.path("records");
 		if (!array.isArray() || array.size() > MAX_RECORDS) {
-			throw new RecordFormatException("a batch has an array of at most " + MAX_RECORDS + " records");
+			throw new RecordFormatException("a batch must have an array of at most " + MAX_RECORDS + " records");
 		}
 		List<Parsed> parsed = new ArrayList<>(array.size());
 		for (JsonNode node : array) {
@@ -70,7 +70,7 @@
 	 * One record of a batch.
 	 *
 	 * @param record the record, or {@code null} if it cannot be parsed
-	 * @param error why the record cannot be parsed
+	 * @param error why the record cannot be parsed, or an empty string
 	 */
 	public record Parsed(ClaimRecord record, String error) {
 	}
--- a/core/src/main/java/org/fulmargap/claim/HeldClaim.java
+++ b/core/src/main/java/org/fulmargap/claim/ClaimEntry.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 
 /**
- * A claim in the memory of the ledger.
+ * Claim that the ledger holds in memory.
  */
-final class HeldClaim {
+final class ClaimEntry {
 
 	final String attemptId;
 
@@ -17,12 +17,12 @@
 
 	long rank;
 
-	/** Offset of the newest record with the first rank and all that is known. */
+	/** Offset of the newest record that restores the claim with its original rank. */
 	long lastOffset;
 
 	RecordedOutcome outcome;
 
-	HeldClaim(ClaimRecord.Claim claim, String incarnation, long claimedAtMs, long rank, long lastOffset) {
+	ClaimEntry(ClaimRecord.Claim claim, String incarnation, long claimedAtMs, long rank, long lastOffset) {
 		this.attemptId = claim.attemptId();
 		this.incarnation = incarnation;
 		this.digest = claim.digest();
--- a/core/src/main/java/org/fulmargap/claim/ClaimEvent.java
+++ b/core/src/main/java/org/fulmargap/claim/ClaimEvent.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * Something that the claim ledger noticed while it read the stream.
+ * Event that the claim ledger reports while it applies the stream.
  *
- * @param type what happened
+ * @param type the type of event
  * @param offset the offset of the record concerned
- * @param detail a text for people
+ * @param detail a human-readable description
  */
 public record ClaimEvent(Type type, long offset, String detail) {
 
@@ -27,7 +27,9 @@
 		/** A record cannot be parsed and was skipped. */
 		UNREADABLE(false),
 
-		/** Records were lost to retention; the ledger is incomplete. */
+		/**
+		 * Records are missing, usually because of retention; the ledger is incomplete.
+		 */
 		GAP(false),
 
 		/** The ledger has become complete. */
@@ -36,7 +38,7 @@
 		/** An outcome belongs to a claim that the ledger does not hold. */
 		OUTCOME_WITHOUT_CLAIM(false),
 
-		/** A record contradicts the claims known to a ledger that is incomplete. */
+		/** A record contradicts an incomplete ledger, which may have the wrong owner. */
 		NOT_JUDGED(false),
 
 		/** An outcome belongs to a claim that does not own its key. */
@@ -55,7 +57,7 @@
 		}
 
 		/**
-		 * Tells whether the event contradicts an invariant of the program.
+		 * Tells whether the event violates an invariant.
 		 * @return {@code true} if the event must never happen
 		 */
 		public boolean isViolation() {
@@ -63,8 +65,8 @@
 		}
 
 		/**
-		 * Tells whether the event is frequent in normal service and only counted.
-		 * @return {@code true} if the event is not logged
+		 * Tells whether the event is frequent in normal operation.
+		 * @return {@code true} if the event is counted but not logged
 		 */
 		public boolean isRoutine() {
 			return this == OUTCOME_WITHOUT_CLAIM || this == NOT_JUDGED;
--- a/core/src/main/java/org/fulmargap/claim/ClaimKey.java
+++ b/core/src/main/java/org/fulmargap/claim/ClaimKey.java
@@ -10,7 +10,7 @@
  */
 public record ClaimKey(String account, String key) {
 
-	/** The highest number of characters of a key. */
+	/** The maximum length of an idempotency key in characters. */
 	public static final int MAX_KEY_CHARS = 128;
 
 	/**
@@ -25,9 +25,9 @@
 	}
 
 	/**
-	 * Tells whether a text can be an idempotency key.
-	 * @param key the text
-	 * @return {@code true} if the text has 1 to 128 visible ASCII characters
+	 * Tells whether a string is a valid idempotency key.
+	 * @param key the string
+	 * @return {@code true} if the string has 1 to 128 visible ASCII characters
 	 */
 	public static boolean isValidKey(String key) {
 		return !key.isEmpty() && key.length() <= MAX_KEY_CHARS && key.chars().allMatch((c) -> c > 0x20 && c < 0x7f);
--- a/core/src/main/java/org/fulmargap/claim/ClaimLedger.java
+++ b/core/src/main/java/org/fulmargap/claim/ClaimLedger.java
@@ -12,37 +12,37 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Deterministic state machine over the claims stream: which attempt owns which key, and
- * with what outcome. Instances are not thread safe.
+ * Deterministic state machine that applies the claims stream. It determines which attempt
+ * owns each key and which outcome is recorded for it. Instances are not thread safe.
  */
 public final class ClaimLedger {
 
 	/**
-	 * The number of characters of recorded bodies in memory: a quarter of the 256 MB that
-	 * a node may use.
+	 * The maximum number of characters of the recorded bodies in memory: a quarter of the
+	 * 256 MB that a node may use.
 	 */
 	private static final long MAX_BODY_CHARS = 64L * 1024 * 1024;
 
 	private final Map<ClaimKey, KeyEntry> entries = new HashMap<>();
 
-	private final OutcomeBodies bodies = new OutcomeBodies(MAX_BODY_CHARS);
+	private final OutcomeBodyCache bodies = new OutcomeBodyCache(MAX_BODY_CHARS);
 
 	/**
-	 * One instance of each account and incarnation, because parsing makes a new string
+	 * Interned names of accounts and incarnations, because parsing creates a new string
 	 * for every record.
 	 */
-	private final Map<String, String> sharedNames = new HashMap<>();
+	private final Map<String, String> internedNames = new HashMap<>();
 
 	private final long keyLifetimeMs;
 
-	private boolean boundsSeen;
+	private boolean boundsKnown;
 
 	private boolean complete;
 
-	/** The first retained offset when reading began or when the last gap was noticed. */
-	private long readFrom;
+	/** The offset at which reading started, initially or after the last gap. */
+	private long readFromOffset;
 
-	private long readSinceMs;
+	private long readStartedAtMs;
 
 	private boolean gap;
 
@@ -56,7 +56,7 @@
 
 	/**
 	 * Creates an empty ledger.
-	 * @param keyLifetimeMs how long a key is remembered, in milliseconds
+	 * @param keyLifetimeMs how long a claim on a key is kept, in milliseconds
 	 */
 	public ClaimLedger(long keyLifetimeMs) {
 		if (keyLifetimeMs <= 0) {
@@ -66,26 +66,27 @@
 	}
 
 	/**
-	 * Notes the bounds of the stream, before the records of a page are applied.
+	 * Updates the bounds of the stream. Call this before the records of a page are
+	 * applied.
 	 * @param firstOffset the first offset that is retained
 	 * @param endOffset the offset that the next append gets
 	 * @param nowMs the present time in milliseconds since the epoch
-	 * @return what was noticed
+	 * @return a gap event if records are missing, otherwise empty
 	 */
 	public List<ClaimEvent> observeBounds(long firstOffset, long endOffset, long nowMs) {
 		this.firstRetained = firstOffset;
 		this.end = endOffset;
-		if (!this.boundsSeen) {
-			this.boundsSeen = true;
+		if (!this.boundsKnown) {
+			this.boundsKnown = true;
 			this.nextOffset = firstOffset;
-			this.readFrom = firstOffset;
-			this.readSinceMs = nowMs;
+			this.readFromOffset = firstOffset;
+			this.readStartedAtMs = nowMs;
 			return List.of();
 		}
 		if (firstOffset > this.nextOffset || endOffset < this.nextOffset) {
 			ClaimEvent event = new ClaimEvent(ClaimEvent.Type.GAP, firstOffset,
 					"expected offset " + this.nextOffset + ", stream holds " + firstOffset + " to " + endOffset);
-			noteGap(firstOffset, nowMs);
+			recordGap(firstOffset, nowMs);
 			return List.of(event);
 		}
 		return List.of();
@@ -96,9 +97,9 @@
 	 * before has no effect.
 	 * @param offset the offset of the record
 	 * @param appendedAtMs when the log stored the record, milliseconds since the epoch
-	 * @param value the record, a batch
+	 * @param value the record, which contains a batch
 	 * @param nowMs the present time in milliseconds since the epoch
-	 * @return the keys whose claims may have changed and what was noticed
+	 * @return the keys whose claims may have changed, and the events
 	 */
 	public ApplyResult apply(long offset, long appendedAtMs, JsonNode value, long nowMs) {
 		Set<ClaimKey> changed = new HashSet<>();
@@ -108,7 +109,7 @@
 		}
 		if (offset > this.nextOffset) {
 			events.add(new ClaimEvent(ClaimEvent.Type.GAP, offset, "expected offset " + this.nextOffset));
-			noteGap(offset, nowMs);
+			recordGap(offset, nowMs);
 		}
 		this.nextOffset = offset + 1;
 		try {
@@ -130,23 +131,26 @@
 	}
 
 	/**
-	 * Reports whether the end of the stream has been reached, which may complete the
-	 * ledger.
+	 * Marks the ledger as complete if the end of the stream has been reached and no live
+	 * claim can be missing. That is so if the stream was read from its first record
+	 * without a gap, if reading started at or below a coverage offset, or if all earlier
+	 * claims have expired.
 	 * @param nowMs the present time in milliseconds since the epoch
-	 * @return whether the ledger became complete by this call
+	 * @return {@code true} if this call made the ledger complete
 	 */
 	public boolean tryComplete(long nowMs) {
-		if (this.complete || !this.boundsSeen || this.nextOffset < this.end) {
+		if (this.complete || !this.boundsKnown || this.nextOffset < this.end) {
 			return false;
 		}
-		boolean covered = this.coveredSince >= this.readFrom;
-		boolean outlived = nowMs - this.readSinceMs > this.keyLifetimeMs;
-		if ((this.readFrom > 0 || this.gap) && !covered && !outlived) {
+		boolean covered = this.coveredSince >= this.readFromOffset;
+		boolean lifetimeElapsed = nowMs - this.readStartedAtMs > this.keyLifetimeMs;
+		if ((this.readFromOffset > 0 || this.gap) && !covered && !lifetimeElapsed) {
 			return false;
 		}
 		if (this.gap && covered) {
-			// Claims released in the gap would otherwise block their keys.
-			this.entries.values().forEach((entry) -> entry.dropBelow(this.coveredSince));
+			// Removes claims whose release may be in the gap: they would block their
+			// keys.
+			this.entries.values().forEach((entry) -> entry.removeBelow(this.coveredSince));
 			this.entries.values().removeIf(KeyEntry::isEmpty);
 		}
 		this.gap = false;
@@ -157,7 +161,7 @@
 	/**
 	 * Finds the claim that owns a key.
 	 * @param key the key
-	 * @return the owner, or empty if the key is free
+	 * @return the owner, or empty if no claim is held
 	 */
 	public Optional<ClaimView> owner(ClaimKey key) {
 		KeyEntry entry = this.entries.get(key);
@@ -171,14 +175,14 @@
 	 */
 	public List<ClaimView> claims(ClaimKey key) {
 		KeyEntry entry = this.entries.get(key);
-		return (entry != null) ? entry.claims().stream().map(HeldClaim::view).toList() : List.of();
+		return (entry != null) ? entry.claims().stream().map(ClaimEntry::view).toList() : List.of();
 	}
 
 	/**
 	 * Tells whether the claim of an attempt, or its release, has been applied.
 	 * @param key the key
 	 * @param attemptId the identity of the attempt
-	 * @return {@code true} if the attempt was seen in the stream
+	 * @return {@code true} if the ledger holds the claim or the release
 	 */
 	public boolean hasSeen(ClaimKey key, String attemptId) {
 		KeyEntry entry = this.entries.get(key);
@@ -189,7 +193,7 @@
 	 * Tells whether an attempt was released.
 	 * @param key the key
 	 * @param attemptId the identity of the attempt
-	 * @return {@code true} if its release was applied
+	 * @return {@code true} if the ledger holds its release
 	 */
 	public boolean isReleased(ClaimKey key, String attemptId) {
 		KeyEntry entry = this.entries.get(key);
@@ -197,9 +201,9 @@
 	}
 
 	/**
-	 * Tells whether the ledger holds every live claim of the stream as far as it was
-	 * read.
-	 * @return {@code true} if claims may be decided by this ledger
+	 * Tells whether the ledger holds every live claim of the part of the stream that it
+	 * has applied.
+	 * @return {@code true} if the ledger may be used to decide who owns a key
 	 */
 	public boolean isComplete() {
 		return this.complete;
@@ -207,7 +211,7 @@
 
 	/**
 	 * Returns the offset of the next record to read.
-	 * @return an offset
+	 * @return the offset
 	 */
 	public long nextOffset() {
 		return this.nextOffset;
@@ -215,18 +219,19 @@
 
 	/**
 	 * Returns the number of keys in memory.
-	 * @return a count
+	 * @return the number of keys
 	 */
 	public int size() {
 		return this.entries.size();
 	}
 
 	/**
-	 * Returns the records to append so that readers who start at the first retained
-	 * offset find every live claim: checkpoints of the claims whose records are the
-	 * oldest, releases that keep repeated appends of their claims without effect, or the
-	 * statement that none is left below the middle of the stream.
-	 * @param max the number of records that is enough for one append
+	 * Returns the records to append so that a reader that starts at the first retained
+	 * offset finds every live claim. These are checkpoints of claims and repeated
+	 * releases whose last record is in the older half of the stream, or a coverage record
+	 * if there are none. A release is repeated because a repeated append of its claim
+	 * would otherwise take effect.
+	 * @param max the number of records at which no further keys are added
 	 * @return the records, empty if none is due or the ledger is incomplete
 	 */
 	public List<ClaimRecord> checkpointsDue(int max) {
@@ -246,7 +251,7 @@
 	}
 
 	/**
-	 * Forgets claims that are older than the key lifetime.
+	 * Removes claims that are older than the key lifetime.
 	 * @param nowMs the present time in milliseconds since the epoch
 	 */
 	public void expire(long nowMs) {
@@ -254,19 +259,19 @@
 		this.bodies.expire(nowMs - this.keyLifetimeMs);
 	}
 
-	private void noteGap(long offset, long nowMs) {
+	private void recordGap(long offset, long nowMs) {
 		this.complete = false;
 		this.gap = true;
 		this.nextOffset = offset;
-		this.readFrom = offset;
-		this.readSinceMs = nowMs;
+		this.readFromOffset = offset;
+		this.readStartedAtMs = nowMs;
 		this.coveredSince = -1;
 	}
 
 	private void apply(ClaimRecord record, RecordPosition position, Set<ClaimKey> changed, List<ClaimEvent> events) {
 		if (record instanceof ClaimRecord.Claim claim) {
-			// The later of the two clocks counts, so that a claim by a VM whose clock is
-			// behind does not expire early.
+			// The later time applies, so that a claim by a VM whose clock is behind does
+			// not expire early.
 			long claimedAtMs = Math.max(claim.claimedAtMs(), position.appendedAtMs());
 			insert(claim, claimedAtMs, position.rank(), null, position);
 			changed.add(claim.key());
@@ -291,32 +296,31 @@
 
 	private void insert(ClaimRecord.Claim claim, long claimedAtMs, long rank, RecordedOutcome outcome,
 			RecordPosition position) {
-		KeyEntry entry = this.entries.computeIfAbsent(shared(claim.key()), (key) -> new KeyEntry(claimedAtMs));
-		HeldClaim known = entry.find(claim.attemptId());
-		if (known != null) {
-			if (rank < known.rank) {
-				known.rank = rank;
-				known.claimedAtMs = claimedAtMs;
+		KeyEntry entry = this.entries.computeIfAbsent(interned(claim.key()), (key) -> new KeyEntry(claimedAtMs));
+		ClaimEntry existing = entry.find(claim.attemptId());
+		if (existing != null) {
+			if (rank < existing.rank) {
+				existing.rank = rank;
+				existing.claimedAtMs = claimedAtMs;
 				entry.sort();
 			}
-			// A repeated append carries neither the first rank nor the outcome, so that
-			// it
-			// cannot stand in for the first record.
-			if (rank != position.rank() && (known.outcome == null || outcome != null)) {
-				known.lastOffset = position.offset();
+			// A repeated append carries neither the original rank nor the outcome.
+			// It therefore cannot replace the first record.
+			if (rank != position.rank() && (existing.outcome == null || outcome != null)) {
+				existing.lastOffset = position.offset();
 			}
-			if (known.outcome == null && outcome != null) {
-				entry.finish(known, outcome);
-				this.bodies.add(known);
+			if (existing.outcome == null && outcome != null) {
+				entry.finish(existing, outcome);
+				this.bodies.add(existing);
 			}
 			return;
 		}
-		// An outcome counts more than a release: the request has run.
+		// An outcome takes precedence over a release because the request has run.
 		if (entry.isFinished() || (outcome == null && entry.isReleased(claim.attemptId()))) {
 			return;
 		}
-		entry.touch(claimedAtMs);
-		HeldClaim held = new HeldClaim(claim, shared(claim.incarnation()), claimedAtMs, rank, position.offset());
+		entry.recordUpdate(claimedAtMs);
+		ClaimEntry held = new ClaimEntry(claim, interned(claim.incarnation()), claimedAtMs, rank, position.offset());
 		entry.add(held);
 		if (outcome != null) {
 			entry.finish(held, outcome);
@@ -324,18 +328,18 @@
 		}
 	}
 
-	private ClaimKey shared(ClaimKey key) {
-		return new ClaimKey(shared(key.account()), key.key());
+	private ClaimKey interned(ClaimKey key) {
+		return new ClaimKey(interned(key.account()), key.key());
 	}
 
-	private String shared(String name) {
-		String known = this.sharedNames.putIfAbsent(name, name);
+	private String interned(String name) {
+		String known = this.internedNames.putIfAbsent(name, name);
 		return (known != null) ? known : name;
 	}
 
 	private void finish(ClaimRecord.Outcome outcome, RecordPosition position, List<ClaimEvent> events) {
 		KeyEntry entry = this.entries.get(outcome.key());
-		HeldClaim claim = (entry != null) ? entry.find(outcome.attemptId()) : null;
+		ClaimEntry claim = (entry != null) ? entry.find(outcome.attemptId()) : null;
 		if (claim == null) {
 			boolean released = entry != null && entry.isReleased(outcome.attemptId());
 			events.add(new ClaimEvent(
@@ -347,17 +351,17 @@
 			return;
 		}
 		if (claim != entry.owner()) {
-			events.add(new ClaimEvent(violation(ClaimEvent.Type.OUTCOME_OF_LOSER), position.offset(),
+			events.add(new ClaimEvent(violationIfComplete(ClaimEvent.Type.OUTCOME_OF_LOSER), position.offset(),
 					"attempt " + outcome.attemptId() + ", the owner is " + entry.owner().attemptId));
 		}
-		entry.touch(position.appendedAtMs());
+		entry.recordUpdate(position.appendedAtMs());
 		entry.finish(claim, outcome.outcome());
 		this.bodies.add(claim);
 	}
 
 	private void release(ClaimRecord.Release release, RecordPosition position, List<ClaimEvent> events) {
 		KeyEntry entry = this.entries.computeIfAbsent(release.key(), (key) -> new KeyEntry(position.appendedAtMs()));
-		HeldClaim claim = entry.find(release.attemptId());
+		ClaimEntry claim = entry.find(release.attemptId());
 		if (claim != null && claim.outcome != null) {
 			events.add(new ClaimEvent(ClaimEvent.Type.RELEASE_AFTER_OUTCOME, position.offset(),
 					"attempt " + release.attemptId()));
@@ -365,23 +369,24 @@
 		}
 		if (!entry.isFinished()) {
 			if (!entry.isReleased(release.attemptId())) {
-				entry.touch(position.appendedAtMs());
+				entry.recordUpdate(position.appendedAtMs());
 			}
 			entry.release(claim, release.attemptId(), position.offset());
 		}
 	}
 
-	private ClaimEvent.Type violation(ClaimEvent.Type type) {
-		// A reader that began in the middle may know a repeated append as the first, and
-		// thus the wrong owner, until a checkpoint gives the rank.
+	private ClaimEvent.Type violationIfComplete(ClaimEvent.Type type) {
+		// A reader that started in the middle of the stream may take a repeated append
+		// for the first record. It then has the wrong owner until it reads a checkpoint
+		// with the original rank.
 		return this.complete ? type : ClaimEvent.Type.NOT_JUDGED;
 	}
 
 	/**
-	 * Result of one record.
+	 * Result of applying one record of the stream.
 	 *
 	 * @param changed the keys whose claims may have changed
-	 * @param events what was noticed
+	 * @param events the events to report
 	 */
 	public record ApplyResult(Set<ClaimKey> changed, List<ClaimEvent> events) {
 	}
--- a/core/src/main/java/org/fulmargap/claim/ClaimRecord.java
+++ b/core/src/main/java/org/fulmargap/claim/ClaimRecord.java
@@ -9,7 +9,7 @@
 import org.fulmargap.config.Json;
 
 /**
- * Record of the claims stream. Several records travel in one append, see
+ * Record of the claims stream. One append carries several records, see
  * {@link ClaimBatch}.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
@@ -21,8 +21,8 @@
 public sealed interface ClaimRecord {
 
 	/**
-	 * Returns the size of the record in a batch.
-	 * @return the number of characters as JSON
+	 * Returns the size of the record as JSON.
+	 * @return the number of characters
 	 */
 	default int jsonChars() {
 		return Json.mapper().valueToTree(this).toString().length();
@@ -33,8 +33,8 @@
 	 *
 	 * @param key the key
 	 * @param digest the digest of pipeline and body
-	 * @param attemptId the identity of the attempt, unique for all time
-	 * @param incarnation the incarnation that claims
+	 * @param attemptId the identity of the attempt, globally unique and never reused
+	 * @param incarnation the incarnation that makes the claim
 	 * @param claimedAtMs when the attempt began, milliseconds since the epoch
 	 */
 	record Claim(@JsonProperty(value = "key", required = true) ClaimKey key,
@@ -78,7 +78,7 @@
 	}
 
 	/**
-	 * Withdraws the claim of an attempt that never reached an endpoint and never will.
+	 * Withdraws the claim of an attempt that has not been and will not be dispatched.
 	 *
 	 * @param key the key
 	 * @param attemptId the identity of the attempt
@@ -97,10 +97,10 @@
 	}
 
 	/**
-	 * Repeats a claim, with its outcome if there is one, before the original falls out of
-	 * retention.
+	 * Repeats a claim, with its outcome if there is one, before retention removes the
+	 * original record.
 	 *
-	 * @param claim the claim; its time is the one that counts for expiry
+	 * @param claim the claim; its time determines when it expires
 	 * @param rank the rank of the original record
 	 * @param outcome the outcome, or {@code null} if none is recorded
 	 */
@@ -120,8 +120,8 @@
 	}
 
 	/**
-	 * States that each claim that is alive has a record at or above an offset. A reader
-	 * that starts at or below that offset therefore misses no live claim.
+	 * States that every live claim has a record at or above an offset. A reader that
+	 * starts at or below that offset therefore misses no live claim.
 	 *
 	 * @param since the offset
 	 */
--- a/core/src/main/java/org/fulmargap/claim/ClaimView.java
+++ b/core/src/main/java/org/fulmargap/claim/ClaimView.java
@@ -4,10 +4,10 @@
 import java.util.Optional;
 
 /**
- * What the claim ledger knows about the claim that owns a key.
+ * Immutable view of a claim that the ledger holds.
  *
- * @param attemptId the identity of the owning attempt
- * @param incarnation the incarnation of the owner
+ * @param attemptId the identity of the attempt that made the claim
+ * @param incarnation the incarnation that made the claim
  * @param digest the digest of pipeline and body
  * @param claimedAtMs when the claim was made, milliseconds since the epoch
  * @param outcome the outcome, if one is recorded
--- a/core/src/main/java/org/fulmargap/claim/KeyEntry.java
+++ b/core/src/main/java/org/fulmargap/claim/KeyEntry.java
@@ -6,35 +6,38 @@
 import java.util.Map;
 
 /**
- * All claims of one key.
+ * Claims and releases of one key.
  */
 final class KeyEntry {
 
 	/** Claims that are not released, lowest rank first. */
-	private final List<HeldClaim> claims = new ArrayList<>(1);
+	private final List<ClaimEntry> claims = new ArrayList<>(1);
 
 	/**
-	 * Attempts that were released, with the offset of the newest release. Repeated
-	 * appends of their claims are ignored.
+	 * Released attempts with the offset of the newest release. Repeated appends of their
+	 * claims are ignored.
 	 */
 	private Map<String, Long> released = Map.of();
 
-	/** The newest time of any record of the key; decides when the entry expires. */
-	private long touchedAtMs;
+	/**
+	 * The time of the latest claim, release or outcome in milliseconds since the epoch.
+	 * An entry without claims expires by this time.
+	 */
+	private long lastUpdateMs;
 
 	KeyEntry(long nowMs) {
-		this.touchedAtMs = nowMs;
+		this.lastUpdateMs = nowMs;
 	}
 
-	void touch(long atMs) {
-		this.touchedAtMs = Math.max(this.touchedAtMs, atMs);
+	void recordUpdate(long atMs) {
+		this.lastUpdateMs = Math.max(this.lastUpdateMs, atMs);
 	}
 
-	List<HeldClaim> claims() {
+	List<ClaimEntry> claims() {
 		return this.claims;
 	}
 
-	HeldClaim owner() {
+	ClaimEntry owner() {
 		return this.claims.isEmpty() ? null : this.claims.get(0);
 	}
 
@@ -42,8 +45,8 @@
 		return !this.claims.isEmpty() && this.claims.get(0).outcome != null;
 	}
 
-	HeldClaim find(String attemptId) {
-		for (HeldClaim claim : this.claims) {
+	ClaimEntry find(String attemptId) {
+		for (ClaimEntry claim : this.claims) {
 			if (claim.attemptId.equals(attemptId)) {
 				return claim;
 			}
@@ -55,7 +58,7 @@
 		return this.released.containsKey(attemptId);
 	}
 
-	void add(HeldClaim claim) {
+	void add(ClaimEntry claim) {
 		this.claims.add(claim);
 		sort();
 	}
@@ -65,7 +68,7 @@
 	}
 
 	void checkpoints(ClaimKey key, long target, List<ClaimRecord> due) {
-		for (HeldClaim claim : this.claims) {
+		for (ClaimEntry claim : this.claims) {
 			if (claim.lastOffset < target) {
 				due.add(claim.checkpoint(key));
 			}
@@ -77,7 +80,7 @@
 		});
 	}
 
-	void release(HeldClaim claim, String attemptId, long offset) {
+	void release(ClaimEntry claim, String attemptId, long offset) {
 		if (claim != null) {
 			this.claims.remove(claim);
 		}
@@ -87,28 +90,29 @@
 		this.released.put(attemptId, offset);
 	}
 
-	void finish(HeldClaim owner, RecordedOutcome outcome) {
+	void finish(ClaimEntry owner, RecordedOutcome outcome) {
 		owner.outcome = outcome;
-		// After an outcome no other claim can come to own the key.
+		// Once an outcome is recorded, no other claim can own the key.
 		this.claims.removeIf((claim) -> claim != owner);
 		this.released = Map.of();
 	}
 
 	/**
-	 * Drops claims that are older than the key lifetime.
-	 * @param claimedBeforeMs the time before which claims are dropped
-	 * @return whether the whole entry is out of date
+	 * Removes claims that are older than the key lifetime.
+	 * @param claimedBeforeMs claims made before this time are removed, milliseconds since
+	 * the epoch
+	 * @return {@code true} if the whole entry has expired
 	 */
 	boolean expire(long claimedBeforeMs) {
 		this.claims.removeIf((claim) -> claim.claimedAtMs < claimedBeforeMs);
-		return this.claims.isEmpty() && this.touchedAtMs < claimedBeforeMs;
+		return this.claims.isEmpty() && this.lastUpdateMs < claimedBeforeMs;
 	}
 
 	/**
-	 * Drops claims without a record at or above an offset that covers all live claims.
+	 * Removes claims that have no record at or above a coverage offset.
 	 * @param offset the offset
 	 */
-	void dropBelow(long offset) {
+	void removeBelow(long offset) {
 		this.claims.removeIf((claim) -> claim.lastOffset < offset);
 	}
 
--- a/core/src/main/java/org/fulmargap/claim/OutcomeBodies.java
+++ b/core/src/main/java/org/fulmargap/claim/OutcomeBodyCache.java
@@ -4,37 +4,37 @@
 import java.util.Deque;
 
 /**
- * Bounds the memory that recorded bodies take. When the bound is exceeded, the outcomes
- * that were recorded first lose their bodies but stay recorded.
+ * Limits the memory that the bodies of recorded outcomes use. When the limit is exceeded,
+ * the bodies that were added first are evicted; their outcomes are kept.
  */
-final class OutcomeBodies {
+final class OutcomeBodyCache {
 
-	private final Deque<HeldClaim> claims = new ArrayDeque<>();
+	private final Deque<ClaimEntry> claims = new ArrayDeque<>();
 
 	private final long maxChars;
 
 	private long chars;
 
-	OutcomeBodies(long maxChars) {
+	OutcomeBodyCache(long maxChars) {
 		this.maxChars = maxChars;
 	}
 
-	void add(HeldClaim claim) {
+	void add(ClaimEntry claim) {
 		this.claims.addLast(claim);
 		this.chars += claim.outcome.body().length();
 		while (this.chars > this.maxChars) {
-			dropFirst();
+			evictFirst();
 		}
 	}
 
 	void expire(long claimedBeforeMs) {
 		while (!this.claims.isEmpty() && this.claims.getFirst().claimedAtMs < claimedBeforeMs) {
-			dropFirst();
+			evictFirst();
 		}
 	}
 
-	private void dropFirst() {
-		HeldClaim claim = this.claims.removeFirst();
+	private void evictFirst() {
+		ClaimEntry claim = this.claims.removeFirst();
 		this.chars -= claim.outcome.body().length();
 		claim.outcome = new RecordedOutcome(claim.outcome.httpStatus(), "", claim.outcome.unknown());
 	}
--- a/core/src/main/java/org/fulmargap/claim/RecordPosition.java
+++ b/core/src/main/java/org/fulmargap/claim/RecordPosition.java
@@ -1,11 +1,11 @@
 package org.fulmargap.claim;
 
 /**
- * Place of a record in the claims stream.
+ * Position of a record in the claims stream.
  *
  * @param offset the offset of the batch
  * @param index the index within the batch
- * @param appendedAtMs when the log stored the batch
+ * @param appendedAtMs when the log stored the batch, milliseconds since the epoch
  */
 record RecordPosition(long offset, int index, long appendedAtMs) {
 
--- a/core/src/main/java/org/fulmargap/claim/RecordedOutcome.java
+++ b/core/src/main/java/org/fulmargap/claim/RecordedOutcome.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * The final answer to a non-idempotent request, as recorded in the claims stream.
+ * Final response to a non-idempotent request, as recorded in the claims stream.
  *
  * @param httpStatus the HTTP status that the first caller received
  * @param body the JSON body that the first caller received; empty if it was too large to
@@ -15,7 +15,7 @@
 public record RecordedOutcome(@JsonProperty("http_status") int httpStatus, @JsonProperty("body") String body,
 		@JsonProperty("unknown") boolean unknown) {
 
-	/** The longest body that is recorded, in UTF-16 code units. */
+	/** The maximum length of a recorded body in UTF-16 code units. */
 	public static final int MAX_BODY_CHARS = 16 * 1024;
 
 	/**
@@ -26,7 +26,7 @@
 	}
 
 	/**
-	 * Returns the form that is recorded in the stream.
+	 * Returns the outcome as it is recorded in the stream.
 	 * @return this outcome, without its body if that is longer than
 	 * {@link #MAX_BODY_CHARS}
 	 */
--- a/core/src/main/java/org/fulmargap/claim/package-info.java
+++ b/core/src/main/java/org/fulmargap/claim/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Claims that make a non-idempotent request run at most once.
+ * Claims on idempotency keys, so that a non-idempotent request runs at most once.
  */
 package org.fulmargap.claim;
--- a/core/src/main/java/org/fulmargap/config/AccountSpec.java
+++ b/core/src/main/java/org/fulmargap/config/AccountSpec.java
@@ -10,8 +10,10 @@
  *
  * @param apiKeySha256 the SHA-256 digest of the bearer key, 64 lower-case hexadecimal
  * digits
- * @param weight the share under contention relative to other accounts, at least one
- * @param maxPriority the highest priority that the account may ask for
+ * @param weight the share of capacity under contention, relative to other accounts, at
+ * least 1
+ * @param maxPriority the highest priority that the account may request; {@code NORMAL} if
+ * absent
  */
 public record AccountSpec(@JsonProperty(value = "api_key_sha256", required = true) String apiKeySha256,
 		@JsonProperty(value = "weight", required = true) int weight,
--- a/core/src/main/java/org/fulmargap/config/ConfigEvent.java
+++ b/core/src/main/java/org/fulmargap/config/ConfigEvent.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * Something that the configuration ledger noticed while it read the stream.
+ * Event that the configuration ledger reports while it applies the stream.
  *
- * @param type what happened
+ * @param type the type of event
  * @param offset the offset of the record concerned
- * @param detail a text for people
+ * @param detail a human-readable description
  */
 public record ConfigEvent(Type type, long offset, String detail) {
 
@@ -24,19 +24,19 @@
 	 */
 	public enum Type {
 
-		/** A patch is pending. */
+		/** A patch was proposed and is pending. */
 		PROPOSED(false),
 
-		/** A patch is in force. */
+		/** A patch was committed and is in force. */
 		COMMITTED(false),
 
 		/** A patch was refused. */
 		REFUSED(false),
 
-		/** The members changed by a join. */
+		/** An entry VM joined. */
 		JOINED(false),
 
-		/** The members changed by a leave or an eviction. */
+		/** An entry VM left or was evicted. */
 		REMOVED(false),
 
 		/** An administrative order changed. */
@@ -45,16 +45,16 @@
 		/** A record has no effect, for example because it is a repeated append. */
 		IGNORED(false),
 
-		/** A commit does not count because acknowledgements are missing. */
+		/** A commit was ignored because acknowledgements are missing. */
 		UNACKNOWLEDGED_COMMIT(false),
 
 		/** A record cannot be parsed and was skipped. */
 		UNREADABLE(false),
 
-		/** Records were lost to retention; the ledger looks for a snapshot. */
+		/** Records are missing, usually because of retention; a snapshot is needed. */
 		GAP(false),
 
-		/** The state was taken from a snapshot. */
+		/** The state was restored from a snapshot. */
 		SNAPSHOT_INSTALLED(false),
 
 		/** A snapshot in the stream is older than the state. */
@@ -63,7 +63,7 @@
 		/** A snapshot in the stream contradicts the state. */
 		DIVERGED(true),
 
-		/** The stream led to a version below one that was in force before. */
+		/** The stream ends at a version below one that was in force before. */
 		VERSION_BELOW_HELD(true);
 
 		private final boolean violation;
@@ -73,7 +73,7 @@
 		}
 
 		/**
-		 * Tells whether the event contradicts an invariant of the program.
+		 * Tells whether the event violates an invariant.
 		 * @return {@code true} if the event must never happen
 		 */
 		public boolean isViolation() {
@@ -81,8 +81,8 @@
 		}
 
 		/**
-		 * Tells whether the event is frequent in normal service and only counted.
-		 * @return {@code true} if the event is not logged
+		 * Tells whether the event is frequent in normal operation.
+		 * @return {@code true} if the event is counted but not logged
 		 */
 		public boolean isRoutine() {
 			return this == IGNORED;
--- a/core/src/main/java/org/fulmargap/config/ConfigLedger.java
+++ b/core/src/main/java/org/fulmargap/config/ConfigLedger.java
@@ -11,24 +11,24 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Deterministic state machine over the configuration stream. It either follows the stream
- * record by record or, at the start and after a gap, looks for a snapshot from which it
- * can follow. While it looks, the last state that it held stays in force. Instances are
- * not thread safe.
+ * Deterministic state machine that applies the configuration stream. It follows the
+ * stream record by record. After a gap, or if it starts in the middle of the stream, it
+ * buffers records until it finds a snapshot. Until then the previous state, if any, stays
+ * in force. Instances are not thread safe.
  */
 public final class ConfigLedger {
 
 	/**
-	 * The number of records that are kept while looking for a snapshot. A snapshot lies
-	 * at most a few hundred records behind the records it leaves out.
+	 * The maximum number of records buffered while a snapshot is searched. A snapshot is
+	 * at most a few hundred records behind the first record that it does not include.
 	 */
 	private static final int MAX_BUFFERED = 20_000;
 
-	private final Deque<Buffered> buffer = new ArrayDeque<>();
+	private final Deque<BufferedRecord> buffer = new ArrayDeque<>();
 
 	private ConfigState state = ConfigState.INITIAL;
 
-	private ConfigState held;
+	private ConfigState previousState;
 
 	private Configuration configuration = Configuration.EMPTY;
 
@@ -46,9 +46,9 @@
 
 	private boolean following;
 
-	private boolean boundsSeen;
+	private boolean boundsKnown;
 
-	private boolean staleSnapshotSeen;
+	private boolean snapshotStale;
 
 	private long snapshotOffset = -1;
 
@@ -57,23 +57,24 @@
 	private int recordsSinceSnapshot;
 
 	/**
-	 * Notes the bounds of the stream, before the records of a page are applied.
+	 * Updates the bounds of the stream. Call this before the records of a page are
+	 * applied.
 	 * @param firstOffset the first offset that is retained
 	 * @param endOffset the offset that the next append gets
-	 * @return what was noticed
+	 * @return a gap event if records are missing, otherwise empty
 	 */
 	public List<ConfigEvent> observeBounds(long firstOffset, long endOffset) {
 		this.firstRetained = firstOffset;
 		this.end = endOffset;
-		boolean first = !this.boundsSeen;
-		this.boundsSeen = true;
+		boolean first = !this.boundsKnown;
+		this.boundsKnown = true;
 		if (first && !this.following) {
-			startFrom(firstOffset);
+			restartAt(firstOffset);
 			return List.of();
 		}
 		if (firstOffset > this.nextOffset || endOffset < this.nextOffset) {
 			String detail = "expected offset " + this.nextOffset + ", stream holds " + firstOffset + " to " + endOffset;
-			startFrom(firstOffset);
+			restartAt(firstOffset);
 			return List.of(new ConfigEvent(ConfigEvent.Type.GAP, firstOffset, detail));
 		}
 		return List.of();
@@ -85,7 +86,7 @@
 	 * @param offset the offset of the record
 	 * @param appendedAtMs when the log stored the record, milliseconds since the epoch
 	 * @param value the record
-	 * @return what happened
+	 * @return the events to report
 	 */
 	public List<ConfigEvent> apply(long offset, long appendedAtMs, JsonNode value) {
 		List<ConfigEvent> events = new ArrayList<>();
@@ -94,17 +95,17 @@
 		}
 		if (offset > this.nextOffset) {
 			events.add(new ConfigEvent(ConfigEvent.Type.GAP, offset, "expected offset " + this.nextOffset));
-			startFrom(offset);
+			restartAt(offset);
 		}
 		this.nextOffset = offset + 1;
 		ConfigRecord record = parse(offset, value, events);
 		if (record instanceof ConfigRecord.Snapshot snapshot) {
-			noteSnapshot(offset, appendedAtMs, snapshot, events);
+			applySnapshot(offset, appendedAtMs, snapshot, events);
 		}
 		else {
 			this.recordsSinceSnapshot++;
 			if (this.following && record != null) {
-				advance(offset, record, events);
+				applyRecord(offset, record, events);
 			}
 			else if (!this.following) {
 				buffer(offset, record);
@@ -115,39 +116,41 @@
 	}
 
 	/**
-	 * Takes over a copy from a peer if it is newer than the own state.
-	 * @param copy the copy that {@link #export()} returned at the peer
-	 * @return whether the copy was newer
+	 * Installs a snapshot from a peer if it is valid and newer than the local state, or
+	 * if there is no local state.
+	 * @param snapshot the snapshot that {@link #export()} returned at the peer
+	 * @return {@code true} if the snapshot was installed
 	 */
-	public boolean install(ConfigRecord.Snapshot copy) {
-		Objects.requireNonNull(copy, "copy");
+	public boolean install(ConfigRecord.Snapshot snapshot) {
+		Objects.requireNonNull(snapshot, "snapshot");
 		long version = state().version();
-		boolean newer = copy.state().version() > version
-				|| (copy.state().version() == version && (!this.following || copy.through() > this.nextOffset));
-		if (!isValid(copy) || (hasState() && !newer)) {
+		boolean newer = snapshot.state().version() > version
+				|| (snapshot.state().version() == version && (!this.following || snapshot.through() > this.nextOffset));
+		if (!isValid(snapshot) || (hasState() && !newer)) {
 			return false;
 		}
 		this.buffer.clear();
-		adopt(copy);
-		this.nextOffset = copy.through();
+		restore(snapshot);
+		this.nextOffset = snapshot.through();
 		return true;
 	}
 
 	/**
-	 * Returns a copy of the state for a peer or for a snapshot record.
-	 * @return the copy, or empty if the state is not known
+	 * Returns the state as a snapshot for a peer or for the stream.
+	 * @return the snapshot, or empty if the ledger does not follow the stream or its
+	 * version is below one that was in force before
 	 */
 	public Optional<ConfigRecord.Snapshot> export() {
-		return (this.following && this.held == null)
+		return (this.following && this.previousState == null)
 				? Optional.of(new ConfigRecord.Snapshot(this.nextOffset, this.state)) : Optional.empty();
 	}
 
 	/**
 	 * Returns the state in force.
-	 * @return the state; never below a version that was in force before
+	 * @return the state, whose version never decreases
 	 */
 	public ConfigState state() {
-		return (this.held != null) ? this.held : this.state;
+		return (this.previousState != null) ? this.previousState : this.state;
 	}
 
 	/**
@@ -157,14 +160,14 @@
 	public Configuration configuration() {
 		ConfigState current = state();
 		if (this.configurationVersion != current.version()) {
-			this.configuration = parsed(current.document());
+			this.configuration = parseDocument(current.document());
 			this.configurationVersion = current.version();
 		}
 		return this.configuration;
 	}
 
 	/**
-	 * Returns the configuration that the pending patch would bring.
+	 * Returns the configuration that the pending patch would put in force.
 	 * @return the configuration, or empty if no patch is pending
 	 */
 	public Optional<Configuration> pendingConfiguration() {
@@ -174,22 +177,22 @@
 		}
 		if (!pending.get().result().equals(this.pendingResult)) {
 			this.pendingResult = pending.get().result();
-			this.pendingConfiguration = parsed(this.pendingResult);
+			this.pendingConfiguration = parseDocument(this.pendingResult);
 		}
 		return Optional.of(this.pendingConfiguration);
 	}
 
 	/**
-	 * Tells whether a state has been established from the stream or a peer.
-	 * @return {@code true} if {@link #state()} is the state of some offset
+	 * Tells whether the ledger has a state from the stream or a peer.
+	 * @return {@code true} if {@link #state()} is the state at some offset
 	 */
 	public boolean hasState() {
-		return this.following || this.held != null;
+		return this.following || this.previousState != null;
 	}
 
 	/**
 	 * Tells whether the ledger follows the stream record by record.
-	 * @return {@code false} before the first snapshot is found and after a gap
+	 * @return {@code false} at the start and while the ledger searches for a snapshot
 	 */
 	public boolean isFollowing() {
 		return this.following;
@@ -197,7 +200,7 @@
 
 	/**
 	 * Returns the offset of the next record to read.
-	 * @return an offset
+	 * @return the offset
 	 */
 	public long nextOffset() {
 		return this.nextOffset;
@@ -206,31 +209,32 @@
 	/**
 	 * Tells whether a new snapshot should be appended.
 	 * @param nowMs the present time in milliseconds since the epoch
-	 * @param everyMs the age above which a snapshot is replaced if records follow it
+	 * @param everyMs the age in milliseconds above which a snapshot is replaced if
+	 * records follow it
 	 * @param maxRecords the number of following records above which it is replaced
 	 * @return {@code true} if the newest snapshot is missing, old, followed by many
-	 * records, stale, or close to falling out of retention
+	 * records, stale, or about to be removed by retention
 	 */
 	public boolean needsSnapshot(long nowMs, long everyMs, int maxRecords) {
-		if (!this.following || this.held != null || this.nextOffset == 0) {
+		if (!this.following || this.previousState != null || this.nextOffset == 0) {
 			return false;
 		}
-		if (this.staleSnapshotSeen || this.recordsSinceSnapshot > maxRecords) {
+		if (this.snapshotStale || this.recordsSinceSnapshot > maxRecords) {
 			return true;
 		}
 		long oldestQuarter = this.firstRetained + (this.end - this.firstRetained) / 4;
 		if (this.firstRetained > 0 && this.snapshotOffset < oldestQuarter) {
 			return true;
 		}
-		// Ten times the interval bounds the age also when no record follows, because the
-		// log may drop records by age.
+		// Limits the age to ten intervals even if no record follows, because the log may
+		// remove records by age.
 		long ageMs = nowMs - this.snapshotAppendedAtMs;
 		return ageMs > everyMs && (this.recordsSinceSnapshot > 0 || ageMs > 10 * everyMs);
 	}
 
-	private static boolean isValid(ConfigRecord.Snapshot copy) {
+	private static boolean isValid(ConfigRecord.Snapshot snapshot) {
 		try {
-			ConfigRules.configuration(copy.state().document());
+			ConfigRules.configuration(snapshot.state().document());
 			return true;
 		}
 		catch (JsonProcessingException ex) {
@@ -238,18 +242,18 @@
 		}
 	}
 
-	private static Configuration parsed(JsonNode document) {
+	private static Configuration parseDocument(JsonNode document) {
 		try {
 			return ConfigRules.configuration(document);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("a document that was accepted is not valid", ex);
+			throw new IllegalStateException("accepted configuration document is not valid", ex);
 		}
 	}
 
-	private void startFrom(long offset) {
-		if (this.following && this.held == null) {
-			this.held = this.state;
+	private void restartAt(long offset) {
+		if (this.following && this.previousState == null) {
+			this.previousState = this.state;
 		}
 		this.following = false;
 		this.buffer.clear();
@@ -276,33 +280,33 @@
 		}
 	}
 
-	private void advance(long offset, ConfigRecord record, List<ConfigEvent> events) {
-		ConfigRules.Step step = ConfigRules.apply(this.state, offset, record);
-		this.state = step.state();
-		events.addAll(step.events());
-		if (this.held != null && this.state.version() >= this.held.version()) {
-			this.held = null;
+	private void applyRecord(long offset, ConfigRecord record, List<ConfigEvent> events) {
+		ConfigRules.Transition transition = ConfigRules.apply(this.state, offset, record);
+		this.state = transition.state();
+		events.addAll(transition.events());
+		if (this.previousState != null && this.state.version() >= this.previousState.version()) {
+			this.previousState = null;
 		}
 	}
 
 	private void buffer(long offset, ConfigRecord record) {
-		this.buffer.addLast(new Buffered(offset, record));
+		this.buffer.addLast(new BufferedRecord(offset, record));
 		if (this.buffer.size() > MAX_BUFFERED) {
 			this.buffer.removeFirst();
 		}
 	}
 
-	private void noteSnapshot(long offset, long appendedAtMs, ConfigRecord.Snapshot snapshot,
+	private void applySnapshot(long offset, long appendedAtMs, ConfigRecord.Snapshot snapshot,
 			List<ConfigEvent> events) {
 		if (!this.following) {
 			buffer(offset, null);
 			if (this.buffer.getFirst().offset() > snapshot.through()) {
 				return;
 			}
-			adopt(snapshot);
-			for (Buffered entry : this.buffer) {
+			restore(snapshot);
+			for (BufferedRecord entry : this.buffer) {
 				if (entry.offset() >= snapshot.through() && entry.record() != null) {
-					advance(entry.offset(), entry.record(), events);
+					applyRecord(entry.offset(), entry.record(), events);
 				}
 			}
 			this.buffer.clear();
@@ -310,8 +314,8 @@
 					"version " + snapshot.state().version()));
 		}
 		long version = snapshot.state().version();
-		this.staleSnapshotSeen = version < this.state.version();
-		if (this.staleSnapshotSeen) {
+		this.snapshotStale = version < this.state.version();
+		if (this.snapshotStale) {
 			events.add(new ConfigEvent(ConfigEvent.Type.STALE_SNAPSHOT, offset, "version " + version));
 			return;
 		}
@@ -325,31 +329,31 @@
 		this.recordsSinceSnapshot = 0;
 	}
 
-	private void adopt(ConfigRecord.Snapshot snapshot) {
-		if (this.following && this.held == null) {
-			this.held = this.state;
+	private void restore(ConfigRecord.Snapshot snapshot) {
+		if (this.following && this.previousState == null) {
+			this.previousState = this.state;
 		}
 		this.state = snapshot.state();
 		this.following = true;
-		if (this.held != null && this.state.version() >= this.held.version()) {
-			this.held = null;
+		if (this.previousState != null && this.state.version() >= this.previousState.version()) {
+			this.previousState = null;
 		}
 	}
 
 	private void checkInvariants(long offset, List<ConfigEvent> events) {
-		if (this.following && this.held != null && this.nextOffset >= this.end) {
-			events.add(new ConfigEvent(ConfigEvent.Type.VERSION_BELOW_HELD, offset,
-					"stream ends at version " + this.state.version() + ", held is " + this.held.version()));
+		if (this.following && this.previousState != null && this.nextOffset >= this.end) {
+			events.add(new ConfigEvent(ConfigEvent.Type.VERSION_BELOW_HELD, offset, "stream ends at version "
+					+ this.state.version() + ", version in force is " + this.previousState.version()));
 		}
 	}
 
 	/**
-	 * A record read while the ledger looks for a snapshot.
+	 * Record that is buffered while the ledger searches for a snapshot.
 	 *
 	 * @param offset the offset of the record
 	 * @param record the record, or {@code null} if it is a snapshot or unreadable
 	 */
-	private record Buffered(long offset, ConfigRecord record) {
+	private record BufferedRecord(long offset, ConfigRecord record) {
 	}
 
 }
--- a/core/src/main/java/org/fulmargap/config/ConfigRecord.java
+++ b/core/src/main/java/org/fulmargap/config/ConfigRecord.java
@@ -48,7 +48,7 @@
 	/**
 	 * Proposes a patch.
 	 *
-	 * @param patchId the identity of the patch, unique for all time
+	 * @param patchId the identity of the patch, globally unique and never reused
 	 * @param expectedVersion the version that the patch applies to
 	 * @param mergePatch a JSON Merge Patch (RFC 7396)
 	 * @param proposedAtMs when the proposal was created, milliseconds since the epoch
@@ -72,8 +72,8 @@
 	 * Acknowledges a proposal.
 	 *
 	 * @param patchId the identity of the patch
-	 * @param vm the entry VM that acknowledges
-	 * @param incarnation its incarnation
+	 * @param vm the name of the entry VM that acknowledges
+	 * @param incarnation the incarnation that acknowledges
 	 */
 	record Ack(@JsonProperty(value = "patch_id", required = true) String patchId,
 			@JsonProperty(value = "vm", required = true) String vm,
@@ -91,7 +91,7 @@
 	}
 
 	/**
-	 * Puts a proposal in force if all members acknowledged it before this record.
+	 * Puts a proposal in force if every required acknowledgement precedes this record.
 	 *
 	 * @param patchId the identity of the patch
 	 */
@@ -107,10 +107,10 @@
 	}
 
 	/**
-	 * Ends a proposal without effect.
+	 * Aborts a proposal.
 	 *
 	 * @param patchId the identity of the patch
-	 * @param reason a text for people
+	 * @param reason a human-readable reason
 	 */
 	record Abort(@JsonProperty(value = "patch_id", required = true) String patchId,
 			@JsonProperty(value = "reason", required = true) String reason) implements ConfigRecord {
@@ -126,10 +126,10 @@
 	}
 
 	/**
-	 * Carries the whole state, so that older records may fall out of retention. Records
-	 * from {@code through} up to the snapshot's own offset are not part of it.
+	 * Contains the whole state, so that retention may remove older records. Records from
+	 * {@code through} up to the offset of the snapshot are not included.
 	 *
-	 * @param through the offset of the first record that is not part of the state
+	 * @param through the offset of the first record that is not included
 	 * @param state the state
 	 */
 	record Snapshot(@JsonProperty(value = "through", required = true) long through,
@@ -148,7 +148,7 @@
 	}
 
 	/**
-	 * Makes an entry VM a member for later patches.
+	 * Makes an entry VM a member, whose acknowledgement later patches require.
 	 *
 	 * @param member the entry VM
 	 */
@@ -183,11 +183,11 @@
 	}
 
 	/**
-	 * Ends the membership of an incarnation that is dead.
+	 * Ends the membership of an incarnation that has failed or was evicted manually.
 	 *
 	 * @param vm the name of the entry VM
-	 * @param incarnation the incarnation that is removed
-	 * @param reason a text for people
+	 * @param incarnation the incarnation to remove
+	 * @param reason a human-readable reason
 	 */
 	record Evict(@JsonProperty(value = "vm", required = true) String vm,
 			@JsonProperty(value = "incarnation", required = true) String incarnation,
@@ -205,7 +205,7 @@
 	}
 
 	/**
-	 * Takes a target out of service or back in.
+	 * Takes a target out of service or returns it to service.
 	 *
 	 * @param order the order
 	 */
--- a/core/src/main/java/org/fulmargap/config/ConfigRules.java
+++ b/core/src/main/java/org/fulmargap/config/ConfigRules.java
@@ -8,15 +8,15 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * The pure rule by which a record changes the configuration state. Every entry VM applies
- * the same rule to the same records and so reaches the same state.
+ * Pure transition function of the configuration state. Every entry VM applies it to the
+ * same records and therefore reaches the same state.
  */
 final class ConfigRules {
 
 	private ConfigRules() {
 	}
 
-	static Step apply(ConfigState state, long offset, ConfigRecord record) {
+	static Transition apply(ConfigState state, long offset, ConfigRecord record) {
 		if (record instanceof ConfigRecord.Propose propose) {
 			return propose(state, offset, propose);
 		}
@@ -52,7 +52,7 @@
 		return configuration;
 	}
 
-	private static Step propose(ConfigState state, long offset, ConfigRecord.Propose propose) {
+	private static Transition propose(ConfigState state, long offset, ConfigRecord.Propose propose) {
 		String patchId = propose.patchId();
 		if (isPending(state, patchId) || state.decision(patchId).isPresent()) {
 			return ignored(state, offset, "repeated proposal of patch " + patchId);
@@ -75,73 +75,73 @@
 		Map<String, String> required = new TreeMap<>();
 		state.members().values().forEach((member) -> required.put(member.vm(), member.incarnation()));
 		PendingPatch pending = new PendingPatch(patchId, propose.proposedAtMs(), result, required, java.util.Set.of());
-		return new Step(state.withPending(pending),
+		return new Transition(state.withPending(pending),
 				List.of(new ConfigEvent(ConfigEvent.Type.PROPOSED, offset, "patch " + patchId)));
 	}
 
-	private static Step ack(ConfigState state, long offset, ConfigRecord.Ack ack) {
+	private static Transition ack(ConfigState state, long offset, ConfigRecord.Ack ack) {
 		if (!isPending(state, ack.patchId())
 				|| !state.pending().orElseThrow().needsAckFrom(ack.vm(), ack.incarnation())) {
 			return ignored(state, offset, "acknowledgement of patch " + ack.patchId() + " by " + ack.incarnation());
 		}
-		return new Step(state.withPending(state.pending().orElseThrow().withAck(ack.vm())), List.of());
+		return new Transition(state.withPending(state.pending().orElseThrow().withAck(ack.vm())), List.of());
 	}
 
-	private static Step commit(ConfigState state, long offset, ConfigRecord.Commit commit) {
+	private static Transition commit(ConfigState state, long offset, ConfigRecord.Commit commit) {
 		if (!isPending(state, commit.patchId())) {
 			return ignored(state, offset, "commit of patch " + commit.patchId());
 		}
 		PendingPatch pending = state.pending().orElseThrow();
 		if (!pending.missingAcks().isEmpty()) {
-			return new Step(state, List.of(new ConfigEvent(ConfigEvent.Type.UNACKNOWLEDGED_COMMIT, offset,
+			return new Transition(state, List.of(new ConfigEvent(ConfigEvent.Type.UNACKNOWLEDGED_COMMIT, offset,
 					"patch " + commit.patchId() + " is not acknowledged by " + pending.missingAcks())));
 		}
 		ConfigState next = state.committed(pending);
-		return new Step(next, List.of(new ConfigEvent(ConfigEvent.Type.COMMITTED, offset,
+		return new Transition(next, List.of(new ConfigEvent(ConfigEvent.Type.COMMITTED, offset,
 				"patch " + commit.patchId() + " version " + next.version())));
 	}
 
-	private static Step abort(ConfigState state, long offset, ConfigRecord.Abort abort) {
+	private static Transition abort(ConfigState state, long offset, ConfigRecord.Abort abort) {
 		if (!isPending(state, abort.patchId())) {
 			return ignored(state, offset, "abort of patch " + abort.patchId());
 		}
 		PendingPatch pending = state.pending().orElseThrow();
 		String message = abort.reason() + "; not acknowledged by " + pending.missingAcks();
-		return new Step(state.refused(abort.patchId(), PatchRejection.NOT_ACKNOWLEDGED, message, null),
+		return new Transition(state.refused(abort.patchId(), PatchRejection.NOT_ACKNOWLEDGED, message, null),
 				List.of(new ConfigEvent(ConfigEvent.Type.REFUSED, offset,
 						"patch " + abort.patchId() + " " + PatchRejection.NOT_ACKNOWLEDGED)));
 	}
 
-	private static Step join(ConfigState state, long offset, Member member) {
+	private static Transition join(ConfigState state, long offset, Member member) {
 		if (member.equals(state.members().get(member.vm()))) {
 			return ignored(state, offset, "repeated join of " + member.incarnation());
 		}
 		Map<String, Member> members = new TreeMap<>(state.members());
 		members.put(member.vm(), member);
-		// The earlier incarnation of the VM cannot acknowledge any more. The new one has
-		// read the proposal before it joined and is in doubt until the decision.
-		return new Step(state.withMembers(members, withoutMember(state, member.vm())),
+		// The earlier incarnation of the VM can no longer acknowledge. The new one read
+		// the proposal before it joined and treats it as in doubt until it is decided.
+		return new Transition(state.withMembers(members, withoutMember(state, member.vm())),
 				List.of(new ConfigEvent(ConfigEvent.Type.JOINED, offset, member.incarnation())));
 	}
 
-	private static Step remove(ConfigState state, long offset, String vm, String incarnation) {
+	private static Transition remove(ConfigState state, long offset, String vm, String incarnation) {
 		if (!state.isMember(vm, incarnation)) {
 			return ignored(state, offset, "removal of " + incarnation);
 		}
 		Map<String, Member> members = new TreeMap<>(state.members());
 		members.remove(vm);
-		return new Step(state.withMembers(members, withoutMember(state, vm)),
+		return new Transition(state.withMembers(members, withoutMember(state, vm)),
 				List.of(new ConfigEvent(ConfigEvent.Type.REMOVED, offset, incarnation)));
 	}
 
-	private static Step order(ConfigState state, long offset, OrderRegister order) {
+	private static Transition order(ConfigState state, long offset, OrderRegister order) {
 		OrderRegister winner = order.merge(state.orders().get(order.target()));
 		if (winner.equals(state.orders().get(order.target()))) {
 			return ignored(state, offset, "order for " + order.target());
 		}
 		Map<String, OrderRegister> orders = new TreeMap<>(state.orders());
 		orders.put(order.target(), winner);
-		return new Step(state.withOrders(orders),
+		return new Transition(state.withOrders(orders),
 				List.of(new ConfigEvent(ConfigEvent.Type.ORDERED, offset, winner.toString())));
 	}
 
@@ -153,23 +153,23 @@
 		return state.pending().filter((pending) -> pending.patchId().equals(patchId)).isPresent();
 	}
 
-	private static Step refused(ConfigState state, long offset, String patchId, PatchRejection rejection,
+	private static Transition refused(ConfigState state, long offset, String patchId, PatchRejection rejection,
 			String message) {
-		return new Step(state.refused(patchId, rejection, message, state.pendingOrNull()),
+		return new Transition(state.refused(patchId, rejection, message, state.pendingOrNull()),
 				List.of(new ConfigEvent(ConfigEvent.Type.REFUSED, offset, "patch " + patchId + " " + rejection)));
 	}
 
-	private static Step ignored(ConfigState state, long offset, String detail) {
-		return new Step(state, List.of(new ConfigEvent(ConfigEvent.Type.IGNORED, offset, detail)));
+	private static Transition ignored(ConfigState state, long offset, String detail) {
+		return new Transition(state, List.of(new ConfigEvent(ConfigEvent.Type.IGNORED, offset, detail)));
 	}
 
 	/**
-	 * Result of one record.
+	 * Result of applying one record.
 	 *
 	 * @param state the state after the record
-	 * @param events what happened
+	 * @param events the events to report
 	 */
-	record Step(ConfigState state, List<ConfigEvent> events) {
+	record Transition(ConfigState state, List<ConfigEvent> events) {
 	}
 
 }
--- a/core/src/main/java/org/fulmargap/config/ConfigState.java
+++ b/core/src/main/java/org/fulmargap/config/ConfigState.java
@@ -13,14 +13,14 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Everything that the records of the configuration stream up to some offset determine.
+ * State that results from the records of the configuration stream up to some offset.
  *
  * @param version the version in force; zero before the first commit
  * @param document the document in force
  * @param members the members by VM name
  * @param orders the administrative orders by target
  * @param pendingOrNull the pending patch, or {@code null}
- * @param decisions the last decisions, oldest first
+ * @param decisions the latest decisions, oldest first
  */
 public record ConfigState(@JsonProperty(value = "version", required = true) long version,
 		@JsonProperty(value = "document", required = true) JsonNode document,
@@ -30,9 +30,9 @@
 		@JsonProperty(value = "decisions", required = true) List<PatchDecision> decisions) {
 
 	/**
-	 * The number of decisions that are kept. They only serve to recognise repeated
-	 * appends of a proposal, which a proposer stops within seconds; at 1,300 changes a
-	 * day the bound covers more than two hours.
+	 * The maximum number of decisions kept. They identify repeated appends of a proposal,
+	 * which a proposer stops within seconds. At 1,300 changes a day they cover more than
+	 * two hours.
 	 */
 	public static final int MAX_DECISIONS = 128;
 
@@ -61,7 +61,7 @@
 	/**
 	 * Finds the decision about a patch.
 	 * @param patchId the identity of the patch
-	 * @return the decision, or empty if there is none or it is too old
+	 * @return the decision, or empty if there is none or it is no longer kept
 	 */
 	public Optional<PatchDecision> decision(String patchId) {
 		return this.decisions.stream().filter((decision) -> decision.patchId().equals(patchId)).findFirst();
@@ -71,7 +71,7 @@
 	 * Tells whether this incarnation is a member.
 	 * @param vm the name of the entry VM
 	 * @param incarnation the incarnation
-	 * @return {@code true} if its join is the last one of the VM
+	 * @return {@code true} if this incarnation of the VM is a member
 	 */
 	public boolean isMember(String vm, String incarnation) {
 		Member member = this.members.get(vm);
--- a/core/src/main/java/org/fulmargap/config/Configuration.java
+++ b/core/src/main/java/org/fulmargap/config/Configuration.java
@@ -22,7 +22,7 @@
 	public static final Configuration EMPTY = new Configuration(Map.of(), Map.of(), Map.of());
 
 	/**
-	 * Copies the maps and checks that each stage names a service with an endpoint.
+	 * Copies the maps and checks that the service of each stage has an endpoint.
 	 */
 	public Configuration {
 		pipelines = sorted(pipelines);
--- a/core/src/main/java/org/fulmargap/config/EndpointSpec.java
+++ b/core/src/main/java/org/fulmargap/config/EndpointSpec.java
@@ -11,8 +11,9 @@
  * @param failureDomain the failure domain of the endpoint
  * @param url the base URL, for example {@code http://127.0.0.1:9001}
  * @param maxConcurrency the number of requests that the endpoint runs at the same time
- * when it is warm, at least one
- * @param fencing whether the endpoint checks fencing numbers of orders
+ * after warm-up, at least 1
+ * @param fencing whether the endpoint checks the fencing token of an order;
+ * {@code IGNORED} if absent
  */
 public record EndpointSpec(@JsonProperty(value = "service", required = true) String service,
 		@JsonProperty(value = "failure_domain", required = true) String failureDomain,
@@ -37,19 +38,19 @@
 	}
 
 	/**
-	 * Whether an endpoint checks the fencing number of an order.
+	 * Handling of the fencing token of an order.
 	 */
 	public enum Fencing {
 
-		/** Orders with an old fencing number are refused. */
+		/** The endpoint rejects orders with a stale fencing token. */
 		CHECKED,
 
-		/** The fencing number has no effect. */
+		/** The endpoint ignores fencing tokens. */
 		IGNORED;
 
 		/**
-		 * Tells whether the endpoint itself rejects orders of a former lease holder.
-		 * @return {@code true} if old fencing numbers are refused
+		 * Tells whether the endpoint rejects orders of a former lease holder.
+		 * @return {@code true} if stale fencing tokens are rejected
 		 */
 		public boolean rejectsStaleTokens() {
 			return this == CHECKED;
--- a/core/src/main/java/org/fulmargap/config/Json.java
+++ b/core/src/main/java/org/fulmargap/config/Json.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
 /**
- * Access to the JSON mapper that all documents use.
+ * Provides the JSON mapper for all documents and records.
  */
 public final class Json {
 
@@ -19,7 +19,8 @@
 	}
 
 	/**
-	 * Returns the mapper. It refuses unknown properties and trailing input.
+	 * Returns the mapper. It rejects unknown properties, null or absent values of
+	 * primitive properties, and trailing tokens.
 	 * @return the shared mapper
 	 */
 	public static ObjectMapper mapper() {
--- a/core/src/main/java/org/fulmargap/config/Member.java
+++ b/core/src/main/java/org/fulmargap/config/Member.java
@@ -5,10 +5,10 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * An entry VM that has joined.
+ * Entry VM that has joined.
  *
  * @param vm the name of the entry VM
- * @param incarnation the incarnation that joined last
+ * @param incarnation the latest incarnation that joined
  * @param failureDomain the failure domain of the entry VM
  */
 public record Member(@JsonProperty(value = "vm", required = true) String vm,
--- a/core/src/main/java/org/fulmargap/config/PatchDecision.java
+++ b/core/src/main/java/org/fulmargap/config/PatchDecision.java
@@ -6,12 +6,12 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * Decision about one patch as the configuration stream records it.
+ * Decision about a patch that follows from the configuration stream.
  *
  * @param patchId the identity of the patch
  * @param version the version in force after the decision
- * @param rejection why the patch was refused, or {@code null} if it was accepted
- * @param message a text for people
+ * @param rejection why the patch was rejected, or {@code null} if it was accepted
+ * @param message a human-readable explanation
  */
 public record PatchDecision(@JsonProperty(value = "patch_id", required = true) String patchId,
 		@JsonProperty(value = "version", required = true) long version,
@@ -27,7 +27,7 @@
 	}
 
 	/**
-	 * Tells whether the patch is in force.
+	 * Tells whether the patch was accepted.
 	 * @return {@code true} if the patch was committed
 	 */
 	public boolean accepted() {
--- a/core/src/main/java/org/fulmargap/config/PatchRejection.java
+++ b/core/src/main/java/org/fulmargap/config/PatchRejection.java
@@ -1,7 +1,7 @@
 package org.fulmargap.config;
 
 /**
- * Reasons for which the configuration stream decides against a patch.
+ * Reasons for the rejection of a patch.
  */
 public enum PatchRejection {
 
@@ -18,7 +18,7 @@
 	NOT_ACKNOWLEDGED;
 
 	/**
-	 * Tells whether proposing the same change again may succeed without editing it.
+	 * Tells whether the same patch may succeed if it is proposed again.
 	 * @return {@code false} for an invalid patch
 	 */
 	public boolean isTransient() {
--- a/core/src/main/java/org/fulmargap/config/PendingPatch.java
+++ b/core/src/main/java/org/fulmargap/config/PendingPatch.java
@@ -11,14 +11,14 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * A patch that has been proposed and not yet decided.
+ * Patch that has been proposed and is not yet decided.
  *
  * @param patchId the identity of the patch
  * @param proposedAtMs when the proposer created the proposal, milliseconds since the
  * epoch
- * @param result the document that the patch brings; it has been validated
+ * @param result the document that results from the patch; it has been validated
  * @param required the incarnations whose acknowledgement is needed, by VM name
- * @param acknowledged the names of the VMs that acknowledged
+ * @param acknowledged the names of the VMs that have acknowledged
  */
 public record PendingPatch(@JsonProperty(value = "patch_id", required = true) String patchId,
 		@JsonProperty(value = "proposed_at_ms", required = true) long proposedAtMs,
@@ -37,8 +37,8 @@
 	}
 
 	/**
-	 * Returns the members whose acknowledgement is missing.
-	 * @return the names in order
+	 * Returns the VMs whose acknowledgement is missing.
+	 * @return the names, sorted
 	 */
 	public Set<String> missingAcks() {
 		Set<String> missing = new TreeSet<>(this.required.keySet());
@@ -50,7 +50,7 @@
 	 * Tells whether an acknowledgement by this incarnation is still needed.
 	 * @param vm the name of the entry VM
 	 * @param incarnation the incarnation
-	 * @return {@code true} if the patch waits for it
+	 * @return {@code true} if the acknowledgement is required and missing
 	 */
 	public boolean needsAckFrom(String vm, String incarnation) {
 		return incarnation.equals(this.required.get(vm)) && !this.acknowledged.contains(vm);
--- a/core/src/main/java/org/fulmargap/config/PipelineSpec.java
+++ b/core/src/main/java/org/fulmargap/config/PipelineSpec.java
@@ -5,11 +5,11 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * A pipeline: the stages that a request passes through in order.
+ * Pipeline of stages that a request runs through in order.
  *
  * @param idempotent whether a request may be run more than once
- * @param deadlineMs the longest time until the answer in milliseconds
- * @param stages the stages in order, at least one
+ * @param deadlineMs the longest time until the response, in milliseconds
+ * @param stages the stages in order, at least 1
  */
 public record PipelineSpec(@JsonProperty(value = "idempotent", required = true) boolean idempotent,
 		@JsonProperty(value = "deadline_ms", required = true) long deadlineMs,
--- a/core/src/main/java/org/fulmargap/config/RecordFormatException.java
+++ b/core/src/main/java/org/fulmargap/config/RecordFormatException.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 
 /**
- * Reports JSON that is well formed but not a record of a stream.
+ * Thrown if JSON is well formed but is not a valid record or document.
  */
 public class RecordFormatException extends JsonProcessingException {
 
--- a/core/src/main/java/org/fulmargap/config/StageKind.java
+++ b/core/src/main/java/org/fulmargap/config/StageKind.java
@@ -11,11 +11,11 @@
 	@JsonProperty("encode")
 	ENCODE,
 
-	/** Looks up documents. */
+	/** Retrieves documents. */
 	@JsonProperty("retrieve")
 	RETRIEVE,
 
-	/** Orders documents by relevance. */
+	/** Sorts documents by relevance. */
 	@JsonProperty("rerank")
 	RERANK,
 
@@ -23,13 +23,13 @@
 	@JsonProperty("generate")
 	GENERATE,
 
-	/** Calls a plain service that acts outside the system. */
+	/** Calls a service that has effects outside the system. */
 	@JsonProperty("action")
 	ACTION;
 
 	/**
-	 * Returns the last path segment of the endpoint's URL for this kind.
-	 * @return a lower-case word
+	 * Returns the last path segment of an endpoint URL for this kind.
+	 * @return the name in lower case
 	 */
 	public String path() {
 		return name().toLowerCase(java.util.Locale.ROOT);
--- a/core/src/main/java/org/fulmargap/config/StageSpec.java
+++ b/core/src/main/java/org/fulmargap/config/StageSpec.java
@@ -11,7 +11,7 @@
  * @param name the name of the stage, unique within its pipeline
  * @param kind what the stage does
  * @param service the service whose endpoints run the stage
- * @param maxTokens the highest number of generated tokens, zero for stages that generate
+ * @param maxTokens the maximum number of generated tokens, zero for stages that generate
  * none
  */
 public record StageSpec(@JsonProperty("name") String name, @JsonProperty("kind") StageKind kind,
@@ -29,7 +29,7 @@
 		}
 	}
 
-	// Takes the number as an object, because the mapper refuses absent primitive values.
+	// Takes the number as an object because the mapper rejects absent primitive values.
 	@JsonCreator
 	static StageSpec of(@JsonProperty(value = "name", required = true) String name,
 			@JsonProperty(value = "kind", required = true) StageKind kind,
--- a/core/src/main/java/org/fulmargap/config/package-info.java
+++ b/core/src/main/java/org/fulmargap/config/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Configuration documents, patches and the state machine over the configuration stream.
+ * Configuration documents, patches and the state machine of the configuration stream.
  */
 package org.fulmargap.config;
--- a/core/src/main/java/org/fulmargap/membership/AdminOrder.java
+++ b/core/src/main/java/org/fulmargap/membership/AdminOrder.java
@@ -7,10 +7,10 @@
 import org.fulmargap.config.OrderRegister;
 
 /**
- * An operator's order to take a failure domain or an endpoint out of service or to bring
- * it back.
+ * Order of an operator to take a failure domain or an endpoint out of service or to
+ * return it to service.
  *
- * @param target what the order is about
+ * @param target the target of the order
  * @param state the state that the order sets
  * @param counter the logical time of the order
  * @param issuer the incarnation of the entry VM that received the order
@@ -20,14 +20,14 @@
 		@JsonProperty(value = "counter", required = true) long counter,
 		@JsonProperty(value = "issuer", required = true) String issuer) {
 
-	/** The highest number of characters of a target or VM name. */
+	/** The maximum length of a target name or VM name in characters. */
 	public static final int MAX_NAME_CHARS = 256;
 
-	/** The highest counter: far above any clock reading, and exact in any JSON reader. */
+	/** The maximum counter: far above any clock reading, and exact in any JSON parser. */
 	public static final long MAX_COUNTER = 1L << 52;
 
-	// A copy of an order with another state does not occur while issuers are unique. OUT
-	// then wins on every VM, so that the registers stay equal.
+	// Two orders that differ only in their state cannot occur while issuers are unique.
+	// If they do, OUT wins on every VM, so that the registers converge.
 	private static final Comparator<AdminOrder> PRECEDENCE = Comparator.comparingLong(AdminOrder::counter)
 		.thenComparing(AdminOrder::issuer)
 		.thenComparing(AdminOrder::state);
@@ -45,7 +45,7 @@
 	}
 
 	/**
-	 * Reads the form that the configuration stream carries.
+	 * Converts an order from its form in the configuration stream.
 	 * @param register the order in the stream
 	 * @return the order
 	 * @throws IllegalArgumentException if the target has an unknown kind
@@ -56,8 +56,8 @@
 	}
 
 	/**
-	 * Returns the form that the configuration stream carries.
-	 * @return the order for the stream
+	 * Converts the order to its form in the configuration stream.
+	 * @return the register for the stream
 	 */
 	public OrderRegister toRegister() {
 		return new OrderRegister(this.target.path(), !this.state.takesNewWork(), this.counter, this.issuer);
@@ -92,7 +92,7 @@
 		}
 
 		/**
-		 * Returns the name that operators use.
+		 * Returns the name for operators.
 		 * @return lower-case words with hyphens
 		 */
 		public String label() {
@@ -106,14 +106,14 @@
 	 */
 	public enum State {
 
-		/** The target gets new work. */
+		/** The target is in service. */
 		IN,
 
-		/** The target gets no new work. */
+		/** The target is out of service and gets no new requests. */
 		OUT;
 
 		/**
-		 * Tells whether the target may get new work.
+		 * Tells whether the target may get new requests.
 		 * @return {@code true} for targets in service
 		 */
 		public boolean takesNewWork() {
@@ -178,7 +178,7 @@
 		}
 
 		/**
-		 * Returns the form that the configuration stream uses.
+		 * Returns the form for the configuration stream.
 		 * @return {@code failure-domain/NAME} or {@code endpoint/NAME}
 		 */
 		public String path() {
--- a/core/src/main/java/org/fulmargap/membership/AdminOrders.java
+++ b/core/src/main/java/org/fulmargap/membership/AdminOrders.java
@@ -15,13 +15,13 @@
 import org.fulmargap.membership.AdminOrder.Target;
 
 /**
- * Immutable set of the orders in force: one last-writer-wins register per target. Merging
- * is commutative, associative and idempotent, so that all entry VMs that saw the same
- * orders hold the same set.
+ * Immutable set of the orders in force, with one last-writer-wins register per target.
+ * Merging is commutative, associative and idempotent, so that all entry VMs that have
+ * merged the same orders have the same set.
  */
 public final class AdminOrders {
 
-	/** The set without orders: everything is in service. */
+	/** The empty set: all targets are in service. */
 	public static final AdminOrders NONE = new AdminOrders(new TreeMap<>());
 
 	private final Map<Target, AdminOrder> registers;
@@ -34,10 +34,10 @@
 	}
 
 	/**
-	 * Creates the order that follows all known ones. Its counter is at least the clock
-	 * reading, so that an order issued by a VM that was cut off still takes precedence
-	 * over older orders that this VM never saw.
-	 * @param target what the order is about
+	 * Creates an order that supersedes all orders of this set. Its counter is at least
+	 * the clock reading, so that an order issued by a partitioned VM still takes
+	 * precedence over older orders that this VM has not received.
+	 * @param target the target of the order
 	 * @param state the state to set
 	 * @param issuer the incarnation of this entry VM
 	 * @param nowMs the present time in milliseconds since the epoch
@@ -48,8 +48,8 @@
 	}
 
 	/**
-	 * Applies orders in any order and with repetitions.
-	 * @param orders orders of other VMs or of the log
+	 * Merges orders. Neither their sequence nor repetitions matter.
+	 * @param orders the orders of other VMs or of the log
 	 * @return the merged set, or this object if nothing changed
 	 */
 	public AdminOrders merge(Collection<AdminOrder> orders) {
@@ -68,16 +68,16 @@
 	/**
 	 * Finds the order in force for a target.
 	 * @param target the target
-	 * @return the order, or empty if there never was one
+	 * @return the order, or empty if there is none
 	 */
 	public Optional<AdminOrder> find(Target target) {
 		return Optional.ofNullable(this.registers.get(target));
 	}
 
 	/**
-	 * Tells whether an order was applied, or replaced by a later one.
+	 * Tells whether an order was merged or superseded.
 	 * @param order the order
-	 * @return {@code true} if the register holds this order or a higher one
+	 * @return {@code true} if the register holds this order or one of higher precedence
 	 */
 	public boolean covers(AdminOrder order) {
 		AdminOrder known = this.registers.get(order.target());
@@ -93,7 +93,7 @@
 	}
 
 	/**
-	 * Finds the endpoints that get no new work.
+	 * Finds the endpoints that are out of service and get no new requests.
 	 * @param configuration the configuration that lists the endpoints
 	 * @return the names of the endpoints that are out or whose failure domain is out
 	 */
@@ -109,9 +109,9 @@
 	}
 
 	/**
-	 * Tells whether a target is out of service by an order of its own.
+	 * Tells whether an order for this target takes it out of service.
 	 * @param target the target
-	 * @return {@code true} if the order in force says out
+	 * @return {@code true} if the state of the order in force is {@code OUT}
 	 */
 	public boolean isOut(Target target) {
 		AdminOrder order = this.registers.get(target);
@@ -119,8 +119,8 @@
 	}
 
 	/**
-	 * Returns a checksum that heartbeats compare to find out whether two VMs hold the
-	 * same orders.
+	 * Returns a checksum that heartbeats carry to detect whether two VMs have different
+	 * orders.
 	 * @return a 64-bit checksum, zero for the empty set
 	 */
 	public long checksum() {
--- a/core/src/main/java/org/fulmargap/membership/Heartbeat.java
+++ b/core/src/main/java/org/fulmargap/membership/Heartbeat.java
@@ -8,17 +8,20 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * State that an entry VM repeats to its peers.
+ * State that an entry VM sends to its peers periodically.
  *
  * @param incarnation the incarnation of the sender
  * @param leaving whether the sender is shutting down
  * @param configVersion the configuration version in force at the sender
- * @param inFlight the number of requests that the sender is running
- * @param warmUpStarts the latest warm-up start by endpoint, milliseconds since the epoch
- * @param strikes the endpoints that each request fingerprint crashed
+ * @param inFlight the number of running requests at the sender
+ * @param warmUpStarts the latest start of a warm-up by endpoint, milliseconds since the
+ * epoch
+ * @param strikes the crash reports: for each request fingerprint, the endpoints that
+ * crashed while the request was in flight
  * @param ordersChecksum the checksum of the sender's orders
  * @param orders the sender's orders, empty if the receiver reported the same checksum
- * @param silentVms members that the sender has not heard for the eviction time
+ * @param silentVms the members from which the sender has received nothing for the
+ * eviction time
  */
 @JsonInclude(JsonInclude.Include.NON_EMPTY)
 public record Heartbeat(@JsonProperty(value = "incarnation", required = true) Incarnation incarnation,
--- a/core/src/main/java/org/fulmargap/membership/Hello.java
+++ b/core/src/main/java/org/fulmargap/membership/Hello.java
@@ -19,7 +19,7 @@
 		@JsonProperty(value = "protocol_version", required = true) int protocolVersion,
 		@JsonProperty(value = "peer_address", required = true) String peerAddress) implements PeerMessage {
 
-	/** The version of the frame protocol that this code speaks. */
+	/** The version of the frame protocol that this code implements. */
 	public static final int PROTOCOL_VERSION = 1;
 
 	/**
--- a/core/src/main/java/org/fulmargap/membership/Incarnation.java
+++ b/core/src/main/java/org/fulmargap/membership/Incarnation.java
@@ -43,7 +43,7 @@
 	}
 
 	/**
-	 * Parses the text form if it is one.
+	 * Parses the text form without throwing an exception for invalid text.
 	 * @param text the text
 	 * @return the incarnation, or empty if the text has another form
 	 */
@@ -59,7 +59,7 @@
 	/**
 	 * Tells whether this incarnation started before another one of the same VM.
 	 * @param other the other incarnation
-	 * @return {@code true} if the VM is the same and the start time lower
+	 * @return {@code true} if the VM is the same and the start time is lower
 	 */
 	public boolean isOlderThan(Incarnation other) {
 		return this.vm.equals(other.vm) && this.startedAtMs < other.startedAtMs;
--- a/core/src/main/java/org/fulmargap/membership/MembershipLimits.java
+++ b/core/src/main/java/org/fulmargap/membership/MembershipLimits.java
@@ -3,15 +3,16 @@
 /**
  * Time limits of failure detection.
  *
- * @param aliveForMs how long a peer counts as alive after it was heard, in milliseconds
- * @param isolatedAfterMs the time without contact after which this VM counts as cut off,
- * in milliseconds
- * @param evictAfterMs the time without a sign of life after which a member may be
- * evicted, in milliseconds
+ * @param aliveForMs how long a peer is considered alive after its last message, in
+ * milliseconds
+ * @param isolatedAfterMs the time without contact after which this VM is considered
+ * isolated, in milliseconds
+ * @param evictAfterMs the time without a message after which a member may be evicted, in
+ * milliseconds
  */
 public record MembershipLimits(long aliveForMs, long isolatedAfterMs, long evictAfterMs) {
 
-	/** The limits that the design states. */
+	/** The default limits, as specified in the design. */
 	public static final MembershipLimits DEFAULTS = new MembershipLimits(2_000, 4_000, 10_000);
 
 	/**
@@ -20,7 +21,7 @@
 	public MembershipLimits {
 		if (aliveForMs <= 0 || isolatedAfterMs < aliveForMs || evictAfterMs < aliveForMs) {
 			throw new IllegalArgumentException(
-					"limits must be positive, and the alive time the shortest: " + aliveForMs);
+					"limits must be positive, and aliveForMs must be the shortest: " + aliveForMs);
 		}
 	}
 
--- a/core/src/main/java/org/fulmargap/membership/MembershipView.java
+++ b/core/src/main/java/org/fulmargap/membership/MembershipView.java
@@ -11,15 +11,14 @@
 import java.util.TreeMap;
 
 /**
- * One entry VM's view of the members and of its own connection to them. Safe for use by
- * several threads.
+ * View that one entry VM has of the members, with a failure detector based on heartbeats.
+ * Instances are thread safe.
  */
 public final class MembershipView {
 
-	// A VM that left is listed this long after it was last heard. Its incarnation is
-	// kept,
-	// so that an older one cannot return.
-	private static final long LIST_FOR_MS = 60_000;
+	// How long a VM that left is listed after its last message. Its incarnation is kept,
+	// so that messages of an older one are still rejected.
+	private static final long LISTING_TIME_MS = 60_000;
 
 	private final Hello self;
 
@@ -37,14 +36,14 @@
 
 	private int selfInFlight;
 
-	private long lastOutsideMs;
+	private long lastOutsideContactMs;
 
-	private long lastLogMs;
+	private long lastLogContactMs;
 
 	private long lastCheckMs;
 
 	/**
-	 * Creates a view without peers.
+	 * Creates a view without any peers.
 	 * @param self the identity of this entry VM
 	 * @param limits the time limits
 	 * @param nowMs the present time in milliseconds since the epoch
@@ -53,21 +52,21 @@
 		this.self = Objects.requireNonNull(self, "self");
 		this.limits = Objects.requireNonNull(limits, "limits");
 		this.startedAtMs = nowMs;
-		this.lastOutsideMs = nowMs;
-		this.lastLogMs = nowMs;
+		this.lastOutsideContactMs = nowMs;
+		this.lastLogContactMs = nowMs;
 		this.lastCheckMs = nowMs;
 	}
 
 	/**
 	 * Returns the identity of this entry VM.
-	 * @return the message that opens each link
+	 * @return the first message of each link
 	 */
 	public Hello self() {
 		return this.self;
 	}
 
 	/**
-	 * Takes over the members that the configuration stream lists.
+	 * Sets the members that the configuration stream lists.
 	 * @param members the incarnation of each member by VM name
 	 * @param nowMs the present time in milliseconds since the epoch
 	 */
@@ -84,8 +83,8 @@
 	}
 
 	/**
-	 * Takes over the members that the configuration stream lists, with their failure
-	 * domains. Members whose incarnation has an unknown form are ignored.
+	 * Sets the members that the configuration stream lists, with their failure domains.
+	 * Members whose incarnation cannot be parsed are ignored.
 	 * @param members the members
 	 * @param nowMs the present time in milliseconds since the epoch
 	 */
@@ -125,7 +124,7 @@
 		}
 		peer.failureDomain = hello.failureDomain();
 		peer.peerAddress = hello.peerAddress();
-		heard(peer, nowMs);
+		recordContact(peer, nowMs);
 		return true;
 	}
 
@@ -144,17 +143,17 @@
 		peer.leaving = heartbeat.leaving();
 		peer.configVersion = heartbeat.configVersion();
 		peer.inFlight = heartbeat.inFlight();
-		peer.silentVms = Set.copyOf(heartbeat.silentVms());
-		heard(peer, nowMs);
+		peer.unresponsiveVms = Set.copyOf(heartbeat.silentVms());
+		recordContact(peer, nowMs);
 		return true;
 	}
 
 	/**
-	 * Records that the log answered.
+	 * Records a response of the log.
 	 * @param nowMs the present time in milliseconds since the epoch
 	 */
 	public synchronized void recordLogContact(long nowMs) {
-		this.lastLogMs = Math.max(this.lastLogMs, nowMs);
+		this.lastLogContactMs = Math.max(this.lastLogContactMs, nowMs);
 	}
 
 	/**
@@ -177,10 +176,10 @@
 	}
 
 	/**
-	 * Tells whether a VM is this one or was heard recently.
+	 * Tells whether a VM is this one or has sent a message recently.
 	 * @param vm the name of the VM
 	 * @param nowMs the present time in milliseconds since the epoch
-	 * @return {@code true} if the VM counts as alive
+	 * @return {@code true} if the VM is considered alive
 	 */
 	public synchronized boolean isAlive(String vm, long nowMs) {
 		Peer peer = this.peers.get(vm);
@@ -198,18 +197,18 @@
 	}
 
 	/**
-	 * Tells whether this VM is cut off: for the isolation time it has heard nothing from
-	 * outside its failure domain, and the log has not answered.
+	 * Tells whether this VM is isolated: for the isolation time it has received no
+	 * message from outside its failure domain and no response from the log.
 	 * @param nowMs the present time in milliseconds since the epoch
 	 * @return {@code true} if the VM is isolated
 	 */
 	public synchronized boolean isIsolated(long nowMs) {
-		return nowMs - this.lastOutsideMs >= this.limits.isolatedAfterMs()
-				&& nowMs - this.lastLogMs >= this.limits.isolatedAfterMs();
+		return nowMs - this.lastOutsideContactMs >= this.limits.isolatedAfterMs()
+				&& nowMs - this.lastLogContactMs >= this.limits.isolatedAfterMs();
 	}
 
 	/**
-	 * Returns the highest configuration version that a living peer reported.
+	 * Returns the highest configuration version that an alive peer reported.
 	 * @param nowMs the present time in milliseconds since the epoch
 	 * @return the version, zero if no peer is alive
 	 */
@@ -223,8 +222,8 @@
 	}
 
 	/**
-	 * Returns this VM and all peers that joined or were heard in the last minute, sorted
-	 * by name.
+	 * Returns this VM and all peers that are members or have sent a message in the last
+	 * minute, sorted by name.
 	 * @param nowMs the present time in milliseconds since the epoch
 	 * @return an immutable list
 	 */
@@ -235,7 +234,7 @@
 						this.joined.contains(this.self.vm()), true, this.selfLeaving, nowMs, this.selfConfigVersion,
 						this.selfInFlight));
 		this.peers.forEach((vm, peer) -> {
-			if (this.joined.contains(vm) || nowMs - peer.lastContactMs < LIST_FOR_MS) {
+			if (this.joined.contains(vm) || nowMs - peer.lastContactMs < LISTING_TIME_MS) {
 				members.put(vm,
 						new MemberStatus(peer.incarnation, peer.failureDomain, peer.peerAddress,
 								this.joined.contains(vm), isAlive(peer, nowMs), peer.leaving, peer.lastContactMs,
@@ -246,27 +245,28 @@
 	}
 
 	/**
-	 * Returns the members that this VM has not heard for the eviction time. Heartbeats
-	 * carry them, so that no VM evicts a member that another one still hears.
+	 * Returns the members from which this VM has received no message for the eviction
+	 * time. Heartbeats carry their names, so that no VM evicts a member whose messages
+	 * still reach another VM.
 	 * @param nowMs the present time in milliseconds since the epoch
 	 * @return names of VMs, sorted
 	 */
 	public synchronized List<String> unresponsiveMembers(long nowMs) {
-		noticeOwnPause(nowMs);
-		List<String> silent = new ArrayList<>();
+		detectOwnPause(nowMs);
+		List<String> unresponsive = new ArrayList<>();
 		this.peers.forEach((vm, peer) -> {
-			if (this.joined.contains(vm) && isSilent(peer, nowMs)) {
-				silent.add(vm);
+			if (this.joined.contains(vm) && isUnresponsive(peer, nowMs)) {
+				unresponsive.add(vm);
 			}
 		});
-		return silent;
+		return unresponsive;
 	}
 
 	/**
-	 * Finds members to evict. A member is evicted if it is absent from the VM list, has
-	 * been silent for the eviction time to this VM and to every living peer, and another
-	 * VM of its failure domain is heard. A failure domain that is silent as a whole is
-	 * cut off, not dead, and keeps its members.
+	 * Finds members to evict. A member is evicted if it is absent from the VM list, this
+	 * VM and every alive peer have received no message from it for the eviction time, and
+	 * another VM of its failure domain is alive. A failure domain without any alive VM is
+	 * considered partitioned rather than failed, so its members are kept.
 	 * @param listedVms the names in the platform's VM list
 	 * @param listReadAtMs when the list was read, milliseconds since the epoch
 	 * @param nowMs the present time in milliseconds since the epoch
@@ -278,15 +278,15 @@
 		boolean listUsable = nowMs - listReadAtMs < this.limits.evictAfterMs() && listed.contains(this.self.vm());
 		for (String vm : unresponsiveMembers(nowMs)) {
 			Peer peer = this.peers.get(vm);
-			if (listUsable && !listed.contains(vm) && isDomainHeard(vm, peer.failureDomain, nowMs)
-					&& isSilentToLivingPeers(vm, nowMs)) {
+			if (listUsable && !listed.contains(vm) && isDomainAlive(vm, peer.failureDomain, nowMs)
+					&& isUnresponsiveToAlivePeers(vm, nowMs)) {
 				evictable.add(vm);
 			}
 		}
 		return evictable;
 	}
 
-	private boolean isDomainHeard(String vm, String failureDomain, long nowMs) {
+	private boolean isDomainAlive(String vm, String failureDomain, long nowMs) {
 		boolean anyOther = false;
 		boolean anyAlive = false;
 		for (Map.Entry<String, Peer> entry : this.peers.entrySet()) {
@@ -298,36 +298,34 @@
 			anyAlive |= alive;
 			anyOther |= other && this.joined.contains(entry.getKey());
 		}
-		// A VM that hears nobody may be the one that is cut off, so it vouches for its
-		// own
-		// failure domain only while it hears somebody or when nobody else is left to
-		// hear.
+		// A VM without any alive peer may itself be partitioned. It therefore counts as
+		// an alive VM of its own failure domain only while a peer other than the
+		// candidate is alive or if there is no other member.
 		return failureDomain.equals(this.self.failureDomain()) && (anyAlive || !anyOther);
 	}
 
-	private boolean isSilentToLivingPeers(String vm, long nowMs) {
+	private boolean isUnresponsiveToAlivePeers(String vm, long nowMs) {
 		return this.peers.entrySet()
 			.stream()
 			.filter((entry) -> !entry.getKey().equals(vm) && isAlive(entry.getValue(), nowMs))
-			.allMatch((entry) -> entry.getValue().silentVms.contains(vm));
+			.allMatch((entry) -> entry.getValue().unresponsiveVms.contains(vm));
 	}
 
-	// Restarts the silence of all peers after a pause of this process: while it was
-	// paused
-	// it could hear nobody, and the first peer heard after the pause would otherwise make
-	// the rest of its failure domain evictable.
-	private void noticeOwnPause(long nowMs) {
+	// Restarts the eviction time of all peers after a pause of this process, during which
+	// it could not receive messages. Otherwise the first message after the pause would
+	// make the other members of the sender's failure domain evictable.
+	private void detectOwnPause(long nowMs) {
 		if (nowMs - this.lastCheckMs >= this.limits.aliveForMs()) {
-			this.peers.values().forEach((peer) -> peer.silentSinceMs = nowMs);
+			this.peers.values().forEach((peer) -> peer.unresponsiveSinceMs = nowMs);
 		}
 		this.lastCheckMs = Math.max(this.lastCheckMs, nowMs);
 	}
 
-	private void heard(Peer peer, long nowMs) {
+	private void recordContact(Peer peer, long nowMs) {
 		peer.lastContactMs = Math.max(peer.lastContactMs, nowMs);
-		peer.silentSinceMs = Math.max(peer.silentSinceMs, nowMs);
+		peer.unresponsiveSinceMs = Math.max(peer.unresponsiveSinceMs, nowMs);
 		if (!peer.failureDomain.equals(this.self.failureDomain())) {
-			this.lastOutsideMs = Math.max(this.lastOutsideMs, nowMs);
+			this.lastOutsideContactMs = Math.max(this.lastOutsideContactMs, nowMs);
 		}
 	}
 
@@ -335,8 +333,8 @@
 		return peer.lastContactMs > 0 && nowMs - peer.lastContactMs < this.limits.aliveForMs();
 	}
 
-	private boolean isSilent(Peer peer, long nowMs) {
-		return nowMs - Math.max(peer.silentSinceMs, this.startedAtMs) >= this.limits.evictAfterMs();
+	private boolean isUnresponsive(Peer peer, long nowMs) {
+		return nowMs - Math.max(peer.unresponsiveSinceMs, this.startedAtMs) >= this.limits.evictAfterMs();
 	}
 
 	private boolean isSelf(String vm) {
@@ -355,13 +353,13 @@
 
 		private long lastContactMs;
 
-		private long silentSinceMs;
+		private long unresponsiveSinceMs;
 
 		private long configVersion;
 
 		private int inFlight;
 
-		private Set<String> silentVms = Set.of();
+		private Set<String> unresponsiveVms = Set.of();
 
 		private Peer(Incarnation incarnation, long nowMs) {
 			restart(incarnation, nowMs);
@@ -371,10 +369,10 @@
 			this.incarnation = newIncarnation;
 			this.leaving = false;
 			this.lastContactMs = 0;
-			this.silentSinceMs = nowMs;
+			this.unresponsiveSinceMs = nowMs;
 			this.configVersion = 0;
 			this.inFlight = 0;
-			this.silentVms = Set.of();
+			this.unresponsiveVms = Set.of();
 		}
 
 	}
--- a/core/src/main/java/org/fulmargap/membership/PeerMessage.java
+++ b/core/src/main/java/org/fulmargap/membership/PeerMessage.java
@@ -14,7 +14,7 @@
 public sealed interface PeerMessage permits Hello, Heartbeat, PeerMessage.Query, PeerMessage.Reply {
 
 	/**
-	 * Message that expects a reply with the same query id.
+	 * Message that expects a reply with the same query number.
 	 */
 	sealed interface Query extends PeerMessage {
 
@@ -40,7 +40,7 @@
 	}
 
 	/**
-	 * Asks the owner of a claim for its outcome.
+	 * Requests the outcome of a claim from its owner.
 	 *
 	 * @param queryId the number that the reply repeats
 	 * @param account the client account
@@ -60,8 +60,8 @@
 		}
 
 		/**
-		 * Returns the key that the query is about.
-		 * @return account and key
+		 * Returns the client account and idempotency key.
+		 * @return the key of the claim
 		 */
 		public ClaimKey claimKey() {
 			return new ClaimKey(this.account, this.key);
@@ -70,17 +70,17 @@
 	}
 
 	/**
-	 * Answers an {@link OutcomeQuery}.
+	 * Replies to an {@link OutcomeQuery}.
 	 *
 	 * @param queryId the number of the query
-	 * @param outcome the outcome, or {@code null} if the request has not ended
+	 * @param outcome the outcome, or {@code null} if the request has not finished
 	 */
 	record OutcomeReply(@JsonProperty(value = "query_id", required = true) long queryId,
 			@JsonProperty("outcome") RecordedOutcome outcome) implements Reply {
 
 		/**
 		 * Returns the outcome.
-		 * @return the outcome, or empty if the request has not ended
+		 * @return the outcome, or empty if the request has not finished
 		 */
 		public Optional<RecordedOutcome> result() {
 			return Optional.ofNullable(this.outcome);
@@ -89,7 +89,7 @@
 	}
 
 	/**
-	 * Asks a member what it knows about a key.
+	 * Requests the state of a key from a member.
 	 *
 	 * @param queryId the number that the reply repeats
 	 * @param account the client account
@@ -107,8 +107,8 @@
 		}
 
 		/**
-		 * Returns the key that the query is about.
-		 * @return account and key
+		 * Returns the client account and idempotency key.
+		 * @return the key of the claim
 		 */
 		public ClaimKey claimKey() {
 			return new ClaimKey(this.account, this.key);
@@ -117,7 +117,7 @@
 	}
 
 	/**
-	 * Answers a {@link KeyQuery}.
+	 * Replies to a {@link KeyQuery}.
 	 *
 	 * @param queryId the number of the query
 	 * @param state {@code NONE}, {@code ABANDONED} or {@code DISPATCHED}
@@ -127,7 +127,7 @@
 	}
 
 	/**
-	 * Hands an order to a peer at once.
+	 * Sends an order to a peer without waiting for the next heartbeat.
 	 *
 	 * @param queryId the number that the acknowledgement repeats
 	 * @param order the order
@@ -148,14 +148,14 @@
 	 * Acknowledges an {@link OrderPush}.
 	 *
 	 * @param queryId the number of the push
-	 * @param applied whether the peer holds the order or a later one for its target
+	 * @param applied whether the peer has the order or one that supersedes it
 	 */
 	record OrderAck(@JsonProperty(value = "query_id", required = true) long queryId,
 			@JsonProperty(value = "applied", required = true) boolean applied) implements Reply {
 	}
 
 	/**
-	 * Asks a peer for its configuration.
+	 * Requests the configuration of a peer.
 	 *
 	 * @param queryId the number that the reply repeats
 	 */
@@ -163,11 +163,11 @@
 	}
 
 	/**
-	 * Answers a {@link ConfigFetch}.
+	 * Replies to a {@link ConfigFetch}.
 	 *
 	 * @param queryId the number of the query
 	 * @param version the version in force at the peer
-	 * @param state the peer's configuration state, or {@code null} if it knows none
+	 * @param state the peer's configuration state, or {@code null} if it has none
 	 */
 	record ConfigReply(@JsonProperty(value = "query_id", required = true) long queryId,
 			@JsonProperty(value = "version", required = true) long version,
--- a/core/src/main/java/org/fulmargap/membership/package-info.java
+++ b/core/src/main/java/org/fulmargap/membership/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Members, failure detection and administrative orders.
+ * Membership, failure detection and administrative orders.
  */
 package org.fulmargap.membership;
--- a/core/src/test/java/org/fulmargap/claim/ClaimLedgerProperties.java
+++ b/core/src/test/java/org/fulmargap/claim/ClaimLedgerProperties.java
@@ -19,9 +19,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Compares the claim ledger with a naive version that keeps every record and recomputes
- * the owner from the whole stream. Guards against two ledgers that disagree about the
- * owner of a key, which would let a request run twice.
+ * Compares the claim ledger with a reference implementation that recomputes the owner
+ * from the whole stream. Guards against two ledgers that disagree about the owner of a
+ * key, which would let a request run twice.
  */
 class ClaimLedgerProperties {
 
@@ -31,7 +31,7 @@
 			new ClaimKey("b", "k1"));
 
 	@Property(seed = "4101", tries = 400)
-	void agreesWithTheNaiveVersionOnEveryPrefix(@ForAll Random random) {
+	void agreesWithTheReferenceOnEveryPrefix(@ForAll Random random) {
 		ClaimLedger ledger = new ClaimLedger(LIFETIME_MS);
 		List<JsonNode> stream = Stream.random(random, 60);
 		ledger.observeBounds(0, stream.size(), 0);
@@ -42,7 +42,7 @@
 				ledger.apply(repeated, 1_000 + repeated, stream.get(repeated), 1_000);
 			}
 			for (ClaimKey key : KEYS) {
-				assertThat(ledger.owner(key)).isEqualTo(Naive.owner(stream.subList(0, offset + 1), key));
+				assertThat(ledger.owner(key)).isEqualTo(Reference.owner(stream.subList(0, offset + 1), key));
 			}
 		}
 	}
@@ -82,7 +82,8 @@
 	}
 
 	/**
-	 * Random streams as correct entry VMs write them, with repeats and broken records.
+	 * Random streams that correct entry VMs can write, with repeated appends and
+	 * malformed records.
 	 */
 	private static final class Stream {
 
@@ -131,7 +132,7 @@
 				this.claims.put(attemptId, claim);
 				return claim;
 			}
-			Optional<ClaimView> owner = Naive.owner(this.values, known.key());
+			Optional<ClaimView> owner = Reference.owner(this.values, known.key());
 			boolean owns = owner.filter((view) -> view.attemptId().equals(attemptId)).isPresent();
 			if (choice == 1 && owns && !this.released.contains(attemptId)) {
 				return new ClaimRecord.Outcome(known.key(), attemptId, new RecordedOutcome(200, attemptId, false));
@@ -143,12 +144,12 @@
 	}
 
 	/**
-	 * The rule of the design page over the whole stream, without any state.
+	 * Reference implementation that computes the owner of a key from the whole stream.
 	 */
-	private static final class Naive {
+	private static final class Reference {
 
 		static Optional<ClaimView> owner(List<JsonNode> stream, ClaimKey key) {
-			List<Seen> claims = new ArrayList<>();
+			List<ClaimFound> claims = new ArrayList<>();
 			Map<String, RecordedOutcome> outcomes = new HashMap<>();
 			Set<String> released = new HashSet<>();
 			String winner = null;
@@ -156,15 +157,15 @@
 				int index = 0;
 				for (JsonNode node : stream.get(offset).path("records")) {
 					JsonNode type = node.path("type");
-					JsonNode of = type.asText().equals("checkpoint") ? node.path("claim") : node;
-					String attemptId = of.path("attempt_id").asText();
+					JsonNode content = type.asText().equals("checkpoint") ? node.path("claim") : node;
+					String attemptId = content.path("attempt_id").asText();
 					long rank = offset * 4096L + index++;
-					if (!of.path("key").equals(Json.mapper().valueToTree(key))) {
+					if (!content.path("key").equals(Json.mapper().valueToTree(key))) {
 						continue;
 					}
 					if (type.asText().equals("claim")
 							&& claims.stream().noneMatch((seen) -> seen.id.equals(attemptId))) {
-						claims.add(new Seen(attemptId, rank, of, Math.max(900, 1_000 + offset)));
+						claims.add(new ClaimFound(attemptId, rank, content, Math.max(900, 1_000 + offset)));
 					}
 					else if (type.asText().equals("release") && !outcomes.containsKey(attemptId) && winner == null) {
 						released.add(attemptId);
@@ -185,7 +186,7 @@
 						Optional.ofNullable(outcomes.get(seen.id))));
 		}
 
-		private record Seen(String id, long rank, JsonNode node, long atMs) {
+		private record ClaimFound(String id, long rank, JsonNode node, long atMs) {
 		}
 
 	}
--- a/core/src/test/java/org/fulmargap/config/ConfigLedgerProperties.java
+++ b/core/src/test/java/org/fulmargap/config/ConfigLedgerProperties.java
@@ -18,25 +18,25 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Compares the configuration ledger with a naive version that recomputes everything from
- * the first record. Guards against entry VMs that hold different documents at the same
- * version, and against a version that moves back after a gap.
+ * Compares the configuration ledger with a reference implementation that recomputes the
+ * state from the first record. Guards against entry VMs that have different documents at
+ * the same version, and against a version that decreases after a gap.
  */
 class ConfigLedgerProperties {
 
 	@Property(seed = "4301", tries = 400)
-	void agreesWithTheNaiveVersionOnEveryPrefix(@ForAll Random random) {
+	void agreesWithTheReferenceOnEveryPrefix(@ForAll Random random) {
 		List<JsonNode> stream = randomStream(random, 60);
 		ConfigLedger ledger = new ConfigLedger();
 		ledger.observeBounds(0, stream.size());
 		for (int offset = 0; offset < stream.size(); offset++) {
 			ledger.apply(offset, offset, stream.get(offset));
-			Naive naive = Naive.of(stream.subList(0, offset + 1));
+			Reference reference = Reference.of(stream.subList(0, offset + 1));
 			ConfigState state = ledger.state();
-			assertThat(state.version()).isEqualTo(naive.version);
-			assertThat(state.document()).isEqualTo(naive.document);
-			assertThat(state.pending().map(PendingPatch::patchId).orElse(null)).isEqualTo(naive.pending);
-			assertThat(state.members().keySet()).isEqualTo(naive.members.keySet());
+			assertThat(state.version()).isEqualTo(reference.version);
+			assertThat(state.document()).isEqualTo(reference.document);
+			assertThat(state.pending().map(PendingPatch::patchId).orElse(null)).isEqualTo(reference.pending);
+			assertThat(state.members().keySet()).isEqualTo(reference.members.keySet());
 			assertThat(ledger.configuration()).isNotNull();
 		}
 	}
@@ -113,9 +113,9 @@
 	}
 
 	/**
-	 * The rule of the design page, read from the raw records.
+	 * Reference implementation that applies the raw records.
 	 */
-	private static final class Naive {
+	private static final class Reference {
 
 		private long version;
 
@@ -133,10 +133,10 @@
 
 		private final Set<String> decided = new HashSet<>();
 
-		static Naive of(List<JsonNode> stream) {
-			Naive naive = new Naive();
-			stream.forEach(naive::apply);
-			return naive;
+		static Reference of(List<JsonNode> stream) {
+			Reference reference = new Reference();
+			stream.forEach(reference::apply);
+			return reference;
 		}
 
 		private void apply(JsonNode record) {
--- a/core/src/test/java/org/fulmargap/config/ConfigurationTests.java
+++ b/core/src/test/java/org/fulmargap/config/ConfigurationTests.java
@@ -7,7 +7,7 @@
 import static org.assertj.core.api.Assertions.assertThatExceptionOfType;
 
 /**
- * Guards against valid documents that are refused and invalid ones that are accepted.
+ * Guards against valid documents that are rejected and invalid ones that are accepted.
  */
 class ConfigurationTests {
 
@@ -28,14 +28,14 @@
 		}
 
 		@Test
-		void withUnknownFieldsAreRefused() {
+		void withUnknownFieldsAreRejected() {
 			assertThatExceptionOfType(com.fasterxml.jackson.core.JsonProcessingException.class)
 				.isThrownBy(() -> read(",'max_token':5", ""))
 				.withMessageContaining("max_token");
 		}
 
 		@Test
-		void whosePipelineHasNoEndpointAreRefused() {
+		void whosePipelineHasNoEndpointAreRejected() {
 			assertThatExceptionOfType(com.fasterxml.jackson.core.JsonProcessingException.class)
 				.isThrownBy(() -> Json.mapper()
 					.readValue(
--- a/core/src/test/java/org/fulmargap/membership/AdminOrdersProperties.java
+++ b/core/src/test/java/org/fulmargap/membership/AdminOrdersProperties.java
@@ -19,8 +19,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against entry VMs that disagree about orders, or go back to an older one,
- * because they saw the same orders in another sequence.
+ * Guards against entry VMs that have different orders in force, or return to an older
+ * one, because they received the same orders in another sequence.
  */
 class AdminOrdersProperties {
 
@@ -31,46 +31,48 @@
 			Map.of("e0", endpoint("d0"), "e1", endpoint("d1"), "d0", endpoint("d2")));
 
 	@Property(tries = 400, seed = "4101")
-	void replicasAgreeWithTheNaiveRegisterAfterMergesInAnyOrder(@ForAll Random random) {
+	void replicasAgreeWithTheReferenceAfterMergesInAnyOrder(@ForAll Random random) {
 		int replicas = 2 + random.nextInt(4);
 		List<AdminOrders> merged = new ArrayList<>(Collections.nCopies(replicas, AdminOrders.NONE));
-		List<Set<AdminOrder>> seen = new ArrayList<>();
+		List<Set<AdminOrder>> received = new ArrayList<>();
 		for (int i = 0; i < replicas; i++) {
-			seen.add(new HashSet<>());
+			received.add(new HashSet<>());
 		}
 		for (int step = 0; step < 60; step++) {
 			int replica = random.nextInt(replicas);
 			if (random.nextInt(3) == 0) {
 				AdminOrder order = randomOrder(random, merged.get(replica), "vm" + replica + "-1");
 				merged.set(replica, merged.get(replica).merge(List.of(order)));
-				seen.get(replica).add(order);
+				received.get(replica).add(order);
 			}
 			else {
 				int source = random.nextInt(replicas);
-				List<AdminOrder> orders = new ArrayList<>(seen.get(source));
+				List<AdminOrder> orders = new ArrayList<>(received.get(source));
 				Collections.shuffle(orders, random);
 				List<AdminOrder> part = orders.subList(0, random.nextInt(orders.size() + 1));
 				merged.set(replica, merged.get(replica).merge(part).merge(part));
-				seen.get(replica).addAll(part);
+				received.get(replica).addAll(part);
 			}
-			assertThat(merged.get(replica).list()).containsExactlyInAnyOrderElementsOf(naive(seen.get(replica)));
+			assertThat(merged.get(replica).list())
+				.containsExactlyInAnyOrderElementsOf(reference(received.get(replica)));
 			assertThat(merged.get(replica).unavailableEndpoints(CONFIGURATION))
-				.isEqualTo(naiveUnavailable(seen.get(replica)));
+				.isEqualTo(referenceUnavailable(received.get(replica)));
 		}
 		Set<AdminOrder> all = new HashSet<>();
-		seen.forEach(all::addAll);
+		received.forEach(all::addAll);
 		for (int i = 0; i < replicas; i++) {
 			AdminOrders complete = merged.get(i);
 			for (AdminOrders other : merged) {
 				complete = complete.merge(other.list());
 			}
-			assertThat(complete.list()).containsExactlyInAnyOrderElementsOf(naive(all));
-			assertThat(complete.checksum()).isEqualTo(AdminOrders.NONE.merge(new ArrayList<>(naive(all))).checksum());
+			assertThat(complete.list()).containsExactlyInAnyOrderElementsOf(reference(all));
+			assertThat(complete.checksum())
+				.isEqualTo(AdminOrders.NONE.merge(new ArrayList<>(reference(all))).checksum());
 		}
 	}
 
 	@Property(tries = 200, seed = "4102")
-	void aNewOrderSupersedesAllThatItsIssuerSaw(@ForAll Random random) {
+	void aNewOrderSupersedesAllThatItsIssuerReceived(@ForAll Random random) {
 		AdminOrders orders = AdminOrders.NONE;
 		for (int step = 0; step < 30; step++) {
 			// The clock of the issuer may be behind the counters of other issuers.
@@ -92,9 +94,9 @@
 				: known.next(target, state, issuer, random.nextInt(10));
 	}
 
-	// Sorts all orders ever seen and lets each one overwrite the one before it.
-	private static Set<AdminOrder> naive(Set<AdminOrder> seen) {
-		List<AdminOrder> sorted = new ArrayList<>(seen);
+	// Sorts all received orders so that each one overwrites its predecessor.
+	private static Set<AdminOrder> reference(Set<AdminOrder> received) {
+		List<AdminOrder> sorted = new ArrayList<>(received);
 		sorted.sort((left, right) -> {
 			int order = Long.compare(left.counter(), right.counter());
 			order = (order != 0) ? order : left.issuer().compareTo(right.issuer());
@@ -105,9 +107,9 @@
 		return new HashSet<>(last.values());
 	}
 
-	private static Set<String> naiveUnavailable(Set<AdminOrder> seen) {
+	private static Set<String> referenceUnavailable(Set<AdminOrder> received) {
 		Set<String> unavailable = new HashSet<>();
-		for (AdminOrder order : naive(seen)) {
+		for (AdminOrder order : reference(received)) {
 			CONFIGURATION.endpoints().forEach((name, spec) -> {
 				boolean domain = order.target().equals(Target.failureDomain(spec.failureDomain()));
 				if (order.state() == State.OUT && (domain || order.target().equals(Target.endpoint(name)))) {
--- a/core/src/test/java/org/fulmargap/membership/MembershipViewTests.java
+++ b/core/src/test/java/org/fulmargap/membership/MembershipViewTests.java
@@ -14,8 +14,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against members that are evicted although they may run, and against state of an
- * earlier run of a VM that replaces the state of its present run.
+ * Guards against the eviction of members that may be running, and against messages of an
+ * earlier incarnation that replace the state of the present one.
  */
 class MembershipViewTests {
 
@@ -40,21 +40,21 @@
 		return this.view.evictableMembers(listed, this.nowMs, this.nowMs);
 	}
 
-	private void runFor(long durationMs, Set<String> silentToOthers, String... heard) {
+	private void runFor(long durationMs, Set<String> unresponsiveToOthers, String... alive) {
 		for (long endMs = this.nowMs + durationMs; this.nowMs < endMs;) {
 			this.nowMs += 100;
 			this.view.unresponsiveMembers(this.nowMs);
-			Stream.of(heard).forEach((vm) -> heartbeat(vm, silentToOthers));
+			Stream.of(alive).forEach((vm) -> heartbeat(vm, unresponsiveToOthers));
 		}
 	}
 
-	private void heartbeat(String vm, Set<String> silent) {
-		this.view.receiveHeartbeat(heartbeat(vm, 1, 3, silent), this.nowMs);
+	private void heartbeat(String vm, Set<String> unresponsive) {
+		this.view.receiveHeartbeat(heartbeat(vm, 1, 3, unresponsive), this.nowMs);
 	}
 
-	private static Heartbeat heartbeat(String vm, long startedAtMs, long version, Set<String> silent) {
+	private static Heartbeat heartbeat(String vm, long startedAtMs, long version, Set<String> unresponsive) {
 		return new Heartbeat(new Incarnation(vm, startedAtMs), false, version, 0, null, null, 0, null,
-				List.copyOf(silent));
+				List.copyOf(unresponsive));
 	}
 
 	private static Hello hello(String vm, long startedAtMs) {
@@ -65,7 +65,7 @@
 	class Eviction {
 
 		@Test
-		void needsTheEvictionTimeOfSilence() {
+		void needsTheEvictionTimeWithoutMessages() {
 			runFor(9_900, Set.of("b2"), "a2", "b1", "c1");
 			assertThat(evictable(LISTED_WITHOUT_B2)).isEmpty();
 			runFor(500, Set.of("b2"), "a2", "b1", "c1");
@@ -73,19 +73,19 @@
 		}
 
 		@Test
-		void sparesAVmThatThePlatformLists() {
+		void keepsAVmThatThePlatformLists() {
 			runFor(30_000, Set.of("b2"), "a2", "b1", "c1");
 			assertThat(evictable(DOMAINS.keySet())).isEmpty();
 		}
 
 		@Test
-		void sparesAFailureDomainThatIsSilentAsAWhole() {
+		void keepsAFailureDomainWithoutAnyAliveVm() {
 			runFor(60_000, Set.of("b1", "b2"), "a2", "c1");
 			assertThat(evictable(Set.of("a1", "a2", "c1"))).isEmpty();
 		}
 
 		@Test
-		void sparesAVmThatAnotherPeerStillHears() {
+		void keepsAVmThatIsResponsiveToAnotherPeer() {
 			runFor(30_000, Set.of(), "a2", "b1", "c1");
 			assertThat(evictable(LISTED_WITHOUT_B2)).isEmpty();
 		}
@@ -100,7 +100,7 @@
 		}
 
 		@Test
-		void doesNotBlameOthersForAPauseOfThisProcess() {
+		void restartsTheEvictionTimeAfterAPauseOfThisProcess() {
 			runFor(5_000, Set.of(), "a2", "b1", "b2", "c1");
 			MembershipViewTests.this.nowMs += 60_000;
 			heartbeat("b1", Set.of("b2"));
@@ -108,7 +108,7 @@
 		}
 
 		@Test
-		void isNotDecidedByAVmThatHearsNobody() {
+		void isNotDecidedByAVmWithoutAlivePeers() {
 			runFor(30_000, Set.of());
 			assertThat(evictable(Set.of("a1"))).isEmpty();
 		}
@@ -119,7 +119,7 @@
 	class Isolation {
 
 		@Test
-		void needsSilenceOfOtherDomainsAndOfTheLog() {
+		void needsLostContactToOtherDomainsAndToTheLog() {
 			runFor(3_900, Set.of(), "a2");
 			assertThat(isIsolated()).isFalse();
 			runFor(200, Set.of(), "a2");
@@ -140,7 +140,7 @@
 	class Incarnations {
 
 		@Test
-		void refusesAnOlderOneAndItsHeartbeats() {
+		void rejectsAnOlderOneAndItsHeartbeats() {
 			MembershipView view = MembershipViewTests.this.view;
 			assertThat(view.receiveHello(hello("b1", 5), 2_000)).isTrue();
 			assertThat(view.receiveHello(hello("b1", 4), 2_000)).isFalse();
@@ -154,7 +154,7 @@
 		}
 
 		@Test
-		void ofVmsThatLeftAreNotListedForEverButStillRefuseOlderOnes() {
+		void ofVmsThatLeftAreListedForAMinuteAndStillRejectOlderOnes() {
 			MembershipView view = MembershipViewTests.this.view;
 			view.receiveHello(hello("b1", 5), 2_000);
 			view.setJoined(Map.of("a1", new Incarnation("a1", 1)), 2_000);
@@ -164,7 +164,7 @@
 		}
 
 		@Test
-		void refusesTheNameOfThisVm() {
+		void rejectsTheNameOfThisVm() {
 			assertThat(MembershipViewTests.this.view.receiveHello(hello("a1", 7), 2_000)).isFalse();
 		}
 
