--- a/core/src/main/java/org/fulmargap/membership/MemberStatus.java
+++ b/core/src/main/java/org/fulmargap/membership/MemberStatus.java
@@ -1,7 +1,7 @@
 package org.fulmargap.membership;
 
 /**
- * Status of an entry VM as known to this or another entry VM.
+ * Status of this entry VM or of a peer, as known to this entry VM.
  *
  * @param incarnation the latest incarnation
  * @param failureDomain the failure domain, empty if not known yet
