--- a/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
@@ -34,38 +34,50 @@
 import org.fulmargap.platform.WorkItemResult;
 
 /**
- * Makes the calls of the stage services that this VM is in charge of, with the work items
- * of all entry VMs. Confined to the event loop.
+ * Sends the calls to the endpoints of the stage services that this VM coordinates, with
+ * the work items of all entry VMs. Confined to the event loop.
  */
 public final class StageCallDispatcher {
 
-	/** A call that takes this many times its expected time is given up. */
+	/**
+	 * A call times out after its expected time, multiplied by the slowdown factor of its
+	 * endpoint and this factor.
+	 */
 	private static final double CALL_TIMEOUT_FACTOR = 2.5;
 
-	/** The least time of a call before it is given up, in milliseconds. */
-	private static final double LEAST_CALL_TIMEOUT_MS = 500;
+	/** The shortest timeout of a call, in milliseconds. */
+	private static final double MIN_CALL_TIMEOUT_MS = 500;
 
-	/** How long an endpoint that is full gets nothing, in milliseconds. */
-	private static final long FULL_PAUSE_MS = 60;
+	/** How long an endpoint that refused a call gets no other one, in milliseconds. */
+	private static final long REFUSED_PAUSE_MS = 60;
 
-	/** The calls in which one work item may be. */
+	/** A work item that was in this many calls is not retried when it fails. */
 	private static final int MAX_CALLS_PER_ITEM = 3;
 
-	/** How often work items that wait are looked at, in milliseconds. */
-	private static final long TICK_MS = 50;
+	/**
+	 * The interval at which waiting work items are expired and dispatched, in
+	 * milliseconds.
+	 */
+	private static final long TICK_INTERVAL_MS = 50;
 
 	/**
-	 * How long after its start a call to an idle endpoint has read its inputs, in
-	 * milliseconds: some megabytes over the endpoints' links.
+	 * The time after which a call to an endpoint with a free slot is assumed to have read
+	 * its inputs, in milliseconds: enough for some megabytes over the endpoints' links.
 	 */
-	private static final long READ_INPUTS_MS = 80;
+	private static final long INPUT_READ_TIME_MS = 80;
 
-	/** Endpoints slower than usual by this factor are not relied on to have begun. */
+	/**
+	 * Endpoints with a higher slowdown factor are not assumed to have read the inputs
+	 * after {@link #INPUT_READ_TIME_MS}.
+	 */
 	private static final double MAX_RELIABLE_SLOWDOWN_FACTOR = 1.5;
 
 	private static final long BYTES_PER_KB = 1_000;
 
-	/** How long results that are given up are gathered, in milliseconds. */
+	/**
+	 * How long released results are collected before they are sent to their endpoints, in
+	 * milliseconds.
+	 */
 	private static final long FREE_DELAY_MS = 8;
 
 	private final EventLoop loop;
@@ -76,7 +88,7 @@
 
 	private final EndpointPool pool;
 
-	private final SharedRetryBudget retries;
+	private final SharedRetryBudget retryBudget;
 
 	private final IntSupplier vmCount;
 
@@ -84,36 +96,38 @@
 
 	private final Map<String, ServiceQueue> queues = new HashMap<>();
 
-	private final Map<String, List<String>> freedByAddress = new HashMap<>();
+	private final Map<String, List<String>> releasedByAddress = new HashMap<>();
 
 	/**
 	 * Creates a dispatcher.
 	 * @param loop the event loop
 	 * @param clockMs the present time in milliseconds
-	 * @param view what the platform's store holds
+	 * @param view this VM's view of the platform's store
 	 * @param pool connections to endpoints
-	 * @param retries this VM's share of repeats
-	 * @param vmCount the number of entry VMs
+	 * @param retryBudget this VM's share of the retry budget
+	 * @param vmCount the number of entry VMs that share the retry budget
 	 * @param metrics counters and latencies
 	 */
 	public StageCallDispatcher(EventLoop loop, LongSupplier clockMs, StoreView view, EndpointPool pool,
-			SharedRetryBudget retries, IntSupplier vmCount, EntryMetrics metrics) {
+			SharedRetryBudget retryBudget, IntSupplier vmCount, EntryMetrics metrics) {
 		this.loop = loop;
 		this.clockMs = clockMs;
 		this.view = view;
 		this.pool = pool;
-		this.retries = retries;
+		this.retryBudget = retryBudget;
 		this.vmCount = vmCount;
 		this.metrics = metrics;
-		loop.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+		loop.scheduleWithFixedDelay(this::tick, TICK_INTERVAL_MS, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
 	}
 
 	/**
-	 * Takes a work item.
+	 * Queues a work item for the next calls of its service. The work item fails if the
+	 * catalog has no such stage service.
 	 * @param service the service of its stage
 	 * @param item the work item
-	 * @param outcome hears what becomes of it
-	 * @return what cancels the work item
+	 * @param outcome receives the outcomes of the work item: {@code INPUTS_READ} any
+	 * number of times, then one last status; none after the cancellation
+	 * @return an action that cancels the work item
 	 */
 	public Runnable submit(String service, WorkItem item, Consumer<WorkItemOutcome> outcome) {
 		ServiceSpec spec = this.view.catalog().map((catalog) -> catalog.services().get(service)).orElse(null);
@@ -125,30 +139,31 @@
 		ServiceQueue queue = this.queues.computeIfAbsent(service,
 				(name) -> new ServiceQueue(name, new BatchScheduler(spec.stage())));
 		queue.scheduler.capacity(spec.stage());
-		Entry entry = new Entry(outcome);
-		queue.entries.put(item, entry);
+		PendingItem pending = new PendingItem(outcome);
+		queue.pendingItems.put(item, pending);
 		queue.scheduler.add(item);
 		queue.scheduleDispatch();
 		return () -> queue.cancel(item);
 	}
 
 	/**
-	 * Gives up results.
+	 * Releases results at the endpoints that keep them, after a short delay so that one
+	 * call covers several results.
 	 * @param handles the names of the results
 	 */
 	public void release(List<String> handles) {
 		for (String handle : handles) {
 			String address = handle.substring(0, Math.max(0, handle.indexOf('/')));
-			if (this.freedByAddress.isEmpty()) {
-				this.loop.schedule(this::sendFreed, FREE_DELAY_MS, TimeUnit.MILLISECONDS);
+			if (this.releasedByAddress.isEmpty()) {
+				this.loop.schedule(this::sendFreeCalls, FREE_DELAY_MS, TimeUnit.MILLISECONDS);
 			}
-			this.freedByAddress.computeIfAbsent(address, (key) -> new ArrayList<>()).add(handle);
+			this.releasedByAddress.computeIfAbsent(address, (key) -> new ArrayList<>()).add(handle);
 		}
 	}
 
 	/**
-	 * Gives up results when there is no room for others.
-	 * @param service the service that made them
+	 * Marks results as evictable: they are released when other results need their space.
+	 * @param service the service that produced them
 	 * @param handles the names of the results
 	 */
 	public void markEvictable(String service, List<String> handles) {
@@ -159,8 +174,9 @@
 		}
 	}
 
-	// The room is free when the endpoint says so, not before.
-	private void freed(String address, List<String> handles) {
+	// Space counts as free only after the endpoint has answered the call that released
+	// the results.
+	private void recordFreed(String address, List<String> handles) {
 		for (Endpoint endpoint : this.view.directory().all()) {
 			ServiceQueue queue = this.queues.get(endpoint.record().service());
 			if (queue != null && endpoint.record().address().equals(address)) {
@@ -171,38 +187,39 @@
 	}
 
 	/**
-	 * Returns the work items that are not done.
-	 * @return the number of work items that wait or are in a call
+	 * Returns the number of unfinished work items.
+	 * @return the number of work items that are waiting or in a call
 	 */
 	public int pendingCount() {
-		return this.queues.values().stream().mapToInt((queue) -> queue.entries.size()).sum();
+		return this.queues.values().stream().mapToInt((queue) -> queue.pendingItems.size()).sum();
 	}
 
 	/**
-	 * Returns the endpoints that work, of the services with work items at this VM.
-	 * @return the number of endpoints of usual speed, by service
+	 * Returns the available endpoints of each service that has work items at this VM.
+	 * @return the available endpoints by service, as the equivalent number of endpoints
+	 * of usual speed
 	 */
 	public Map<String, Double> availableEndpoints() {
 		long nowMs = this.clockMs.getAsLong();
 		Map<String, Double> available = new HashMap<>();
 		this.queues.forEach((service, queue) -> {
-			if (!queue.entries.isEmpty()) {
-				available.put(service, speed(this.view.directory().available(service, nowMs), nowMs));
+			if (!queue.pendingItems.isEmpty()) {
+				available.put(service, totalSpeed(this.view.directory().available(service, nowMs), nowMs));
 			}
 		});
 		return available;
 	}
 
-	private static double speed(List<Endpoint> endpoints, long nowMs) {
+	private static double totalSpeed(List<Endpoint> endpoints, long nowMs) {
 		return endpoints.stream()
 			.filter((endpoint) -> !endpoint.isSuspended(nowMs))
 			.mapToDouble((endpoint) -> 1 / Math.max(1, endpoint.slowdownFactor()))
 			.sum();
 	}
 
-	private void sendFreed() {
-		Map<String, List<String>> freed = Map.copyOf(this.freedByAddress);
-		this.freedByAddress.clear();
+	private void sendFreeCalls() {
+		Map<String, List<String>> freed = Map.copyOf(this.releasedByAddress);
+		this.releasedByAddress.clear();
 		freed.forEach((address, handles) -> {
 			if (!address.isEmpty()) {
 				this.pool.send(address,
@@ -225,7 +242,7 @@
 
 		private final BatchScheduler scheduler;
 
-		private final Map<WorkItem, Entry> entries = new HashMap<>();
+		private final Map<WorkItem, PendingItem> pendingItems = new HashMap<>();
 
 		private boolean dispatchScheduled;
 
@@ -235,7 +252,8 @@
 		}
 
 		private void scheduleDispatch() {
-			// Work items that arrive in one turn of the event loop share a call.
+			// Dispatch is deferred to a later event loop task, so that work items which
+			// arrive together can share a call.
 			if (!this.dispatchScheduled) {
 				this.dispatchScheduled = true;
 				StageCallDispatcher.this.loop.execute(this::dispatch);
@@ -249,16 +267,16 @@
 				return;
 			}
 			List<Endpoint> available = StageCallDispatcher.this.view.directory().available(this.service, nowMs);
-			for (WorkItem late : this.scheduler.expire(available.size(), nowMs)) {
+			for (WorkItem expired : this.scheduler.expire(available.size(), nowMs)) {
 				StageCallDispatcher.this.metrics.count("pieces_expired");
-				EventLog.request("piece_expired", late.attemptId())
+				EventLog.request("piece_expired", expired.attemptId())
 					.with("service", this.service)
-					.with("stage", late.stage())
+					.with("stage", expired.stage())
 					.with("waiting", this.scheduler.waitingCount())
 					.with("endpoints", available.size())
-					.with("left_ms", late.expiresAtMs() - nowMs)
+					.with("left_ms", expired.expiresAtMs() - nowMs)
 					.write();
-				finish(late, WorkItemOutcome.failed(late.itemId()));
+				finish(expired, WorkItemOutcome.failed(expired.itemId()));
 			}
 			Optional<StageCall> next = this.scheduler.next(available, nowMs);
 			while (next.isPresent()) {
@@ -269,7 +287,7 @@
 		}
 
 		private void send(StageCall call, long nowMs) {
-			call.items().forEach((item) -> this.entries.get(item).calls++);
+			call.items().forEach((item) -> this.pendingItems.get(item).calls++);
 			StageCallDispatcher.this.metrics.count("stage_calls");
 			EventLog.call("stage_call")
 				.with("service", this.service)
@@ -286,40 +304,42 @@
 			running.cancellable = StageCallDispatcher.this.pool.send(address, StageRequests.post(address,
 					StageCalls.RUN_PATH, StageCalls.encode(call.items(), nowMs), call.endpoint().record().id()),
 					running);
-			double timeoutMs = Math.max(LEAST_CALL_TIMEOUT_MS,
+			double timeoutMs = Math.max(MIN_CALL_TIMEOUT_MS,
 					call.expectedMs() * CALL_TIMEOUT_FACTOR * Math.max(1, call.endpoint().slowdownFactor()));
-			StageCallDispatcher.this.loop.schedule(running::inputsRead, READ_INPUTS_MS, TimeUnit.MILLISECONDS);
+			StageCallDispatcher.this.loop.schedule(running::inputsRead, INPUT_READ_TIME_MS, TimeUnit.MILLISECONDS);
 			running.timeout = StageCallDispatcher.this.loop.schedule(running::timedOut, (long) timeoutMs,
 					TimeUnit.MILLISECONDS);
 		}
 
 		private void cancel(WorkItem item) {
-			this.entries.remove(item);
+			this.pendingItems.remove(item);
 			this.scheduler.remove(item);
 		}
 
 		private void finish(WorkItem item, WorkItemOutcome outcome) {
-			Entry entry = this.entries.remove(item);
-			if (entry != null) {
-				entry.outcome.accept(outcome);
+			PendingItem pending = this.pendingItems.remove(item);
+			if (pending != null) {
+				pending.outcome.accept(outcome);
 			}
 			else if (outcome.isDone()) {
+				// The work item was cancelled during the call, so its result is not
+				// needed.
 				release(List.of(outcome.handle()));
 			}
 		}
 
 		private void requeue(WorkItem item) {
-			if (this.entries.containsKey(item)) {
+			if (this.pendingItems.containsKey(item)) {
 				this.scheduler.add(item);
 			}
 		}
 
 		private void retry(WorkItem item, boolean mayHaveRun, long nowMs) {
-			Entry entry = this.entries.get(item);
-			if (entry == null) {
+			PendingItem pending = this.pendingItems.get(item);
+			if (pending == null) {
 				return;
 			}
-			boolean allowed = entry.calls < MAX_CALLS_PER_ITEM && (!mayHaveRun || StageCallDispatcher.this.retries
+			boolean allowed = pending.calls < MAX_CALLS_PER_ITEM && (!mayHaveRun || StageCallDispatcher.this.retryBudget
 				.tryRetry(this.service, StageCallDispatcher.this.vmCount.getAsInt(), nowMs));
 			if (allowed) {
 				this.scheduler.add(item);
@@ -331,20 +351,20 @@
 
 	}
 
-	private static final class Entry {
+	private static final class PendingItem {
 
 		private final Consumer<WorkItemOutcome> outcome;
 
 		private int calls;
 
-		private Entry(Consumer<WorkItemOutcome> outcome) {
+		private PendingItem(Consumer<WorkItemOutcome> outcome) {
 			this.outcome = outcome;
 		}
 
 	}
 
 	/**
-	 * A call on its way.
+	 * A call with work items that is in flight.
 	 */
 	private final class RunningCall implements EndpointCall {
 
@@ -406,7 +426,7 @@
 				this.call.endpoint().failed(true, nowMs);
 			}
 			else {
-				this.call.endpoint().refused(nowMs + FULL_PAUSE_MS);
+				this.call.endpoint().refused(nowMs + REFUSED_PAUSE_MS);
 			}
 			retryAll("refused_" + this.answer.status(), true, nowMs);
 		}
@@ -465,15 +485,16 @@
 			this.queue.scheduleDispatch();
 		}
 
-		// The endpoint was idle, so its turn came at once: the inputs may go.
+		// The endpoint had a free slot, so it started the call at once and has read the
+		// inputs by now.
 		private void inputsRead() {
 			if (this.finished || this.call.endpoint().slowdownFactor() > MAX_RELIABLE_SLOWDOWN_FACTOR) {
 				return;
 			}
 			for (WorkItem item : this.call.items()) {
-				Entry entry = this.queue.entries.get(item);
-				if (entry != null && !item.inputs().isEmpty()) {
-					entry.outcome.accept(WorkItemOutcome.inputsRead(item.itemId()));
+				PendingItem pending = this.queue.pendingItems.get(item);
+				if (pending != null && !item.inputs().isEmpty()) {
+					pending.outcome.accept(WorkItemOutcome.inputsRead(item.itemId()));
 				}
 			}
 		}
@@ -503,7 +524,8 @@
 	}
 
 	/**
-	 * A call that gives up results. When it fails they expire.
+	 * A call that releases results. If it fails, the endpoint keeps them until they
+	 * expire.
 	 */
 	private final class FreeCall implements EndpointCall {
 
@@ -523,17 +545,17 @@
 
 		@Override
 		public void answered(EndpointAnswer answer, HttpResponse head) {
-			// That the call ends is enough.
+			// Any complete response counts as confirmation, whatever its status.
 		}
 
 		@Override
 		public void received(ByteBuf content) {
-			// The body says nothing.
+			// The body is not used.
 		}
 
 		@Override
 		public void ended() {
-			freed(this.address, this.handles);
+			recordFreed(this.address, this.handles);
 		}
 
 		@Override
--- a/entry/src/main/java/org/fulmargap/entry/stage/StageClient.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageClient.java
@@ -14,9 +14,11 @@
 import org.fulmargap.entry.peer.PeerNetwork;
 
 /**
- * Hands work items to the entry VM that is in charge of their service: the VM with the
- * highest hash among those that this VM hears. When that VM is lost its work items go to
- * the next one; two VMs that both believe to be in charge only form smaller calls.
+ * Submits work items to the coordinator of their service, the entry VM that makes the
+ * calls of the service. Each VM determines the coordinator by itself: the VM with the
+ * highest hash among itself and the connected peers, without those that are lost or
+ * draining. When a coordinator is lost, its work items are submitted again to the next
+ * one. While two VMs both act as coordinator, the calls of each hold fewer work items.
  * Confined to the event loop.
  */
 public final class StageClient {
@@ -37,12 +39,12 @@
 
 	private long lastItemId;
 
-	private boolean flushPlanned;
+	private boolean flushScheduled;
 
 	/**
 	 * Creates a client.
 	 * @param loop the event loop
-	 * @param dispatcher makes the calls that this VM is in charge of
+	 * @param dispatcher makes the calls of the services that this VM coordinates
 	 * @param peers the other entry VMs
 	 */
 	public StageClient(EventLoop loop, StageCallDispatcher dispatcher, PeerNetwork peers) {
@@ -52,8 +54,8 @@
 	}
 
 	/**
-	 * Returns the number for the next work item.
-	 * @return the number
+	 * Returns a new item id.
+	 * @return the id, unique among the work items of this client
 	 */
 	public long newItemId() {
 		this.lastItemId++;
@@ -61,10 +63,11 @@
 	}
 
 	/**
-	 * Has a work item done.
+	 * Submits a work item.
 	 * @param service the service of its stage
-	 * @param item the work item, with a number from {@link #newItemId}
-	 * @param outcome hears what becomes of it, unless it is cancelled
+	 * @param item the work item, with an id from {@link #newItemId}
+	 * @param outcome receives the outcomes of the work item: {@code INPUTS_READ} any
+	 * number of times, then one last status; not called after {@link #cancel}
 	 */
 	public void submit(String service, WorkItem item, Consumer<WorkItemOutcome> outcome) {
 		Submission submission = new Submission(service, item, outcome);
@@ -81,18 +84,18 @@
 		this.outgoing
 			.computeIfAbsent(new PeerService(submission.coordinator, submission.service), (key) -> new ArrayList<>())
 			.add(submission.item);
-		flushSoon();
+		scheduleFlush();
 	}
 
-	private void flushSoon() {
-		if (!this.flushPlanned) {
-			this.flushPlanned = true;
+	private void scheduleFlush() {
+		if (!this.flushScheduled) {
+			this.flushScheduled = true;
 			this.loop.execute(this::flush);
 		}
 	}
 
 	private void flush() {
-		this.flushPlanned = false;
+		this.flushScheduled = false;
 		Map<PeerService, List<WorkItem>> items = new LinkedHashMap<>(this.outgoing);
 		this.outgoing.clear();
 		items.forEach((target, list) -> this.peers.send(target.peer, new PeerMessage.WorkItems(target.service, list)));
@@ -110,8 +113,8 @@
 	}
 
 	/**
-	 * Cancels a work item that nobody needs any more.
-	 * @param itemId the number of the work item
+	 * Cancels a work item. Does nothing if it has ended.
+	 * @param itemId the id of the work item
 	 */
 	public void cancel(long itemId) {
 		Submission submission = this.submissions.remove(itemId);
@@ -127,7 +130,7 @@
 	}
 
 	/**
-	 * Gives up results.
+	 * Releases results that are no longer needed.
 	 * @param service the service of their stage
 	 * @param handles the names of the results
 	 */
@@ -136,8 +139,8 @@
 	}
 
 	/**
-	 * Gives up results that are needed again only if a call fails: they are kept as long
-	 * as there is room for them.
+	 * Marks results as evictable, because they are needed again only if a call fails:
+	 * they are kept as long as there is space for them.
 	 * @param service the service of their stage
 	 * @param handles the names of the results
 	 */
@@ -153,8 +156,8 @@
 	}
 
 	/**
-	 * Takes results that were given up.
-	 * @param release the results
+	 * Releases results or marks them as evictable.
+	 * @param release the results, from this VM or a peer
 	 */
 	public void receive(PeerMessage.Release release) {
 		if (release.evictable()) {
@@ -166,7 +169,7 @@
 	}
 
 	/**
-	 * Takes work items of a peer.
+	 * Queues the work items of a peer, and sends their outcomes back to it.
 	 * @param peer the name of the peer
 	 * @param message the work items
 	 */
@@ -178,14 +181,14 @@
 					this.cancellations.remove(key);
 				}
 				this.outgoingOutcomes.computeIfAbsent(peer, (name) -> new ArrayList<>()).add(outcome);
-				flushSoon();
+				scheduleFlush();
 			});
 			this.cancellations.put(key, cancellation);
 		}
 	}
 
 	/**
-	 * Takes the cancellation of a peer's work item.
+	 * Cancels a work item of a peer. Does nothing if it has ended.
 	 * @param peer the name of the peer
 	 * @param message the cancellation
 	 */
@@ -197,9 +200,10 @@
 	}
 
 	/**
-	 * Takes results that a peer's calls brought. A result that nobody waits for any more
-	 * is given up.
-	 * @param message the results
+	 * Receives the outcomes of work items that were submitted to a peer. Outcomes of
+	 * cancelled work items are ignored; their results stay at the endpoint until they
+	 * expire.
+	 * @param message the outcomes
 	 */
 	public void receive(PeerMessage.Outcomes message) {
 		for (WorkItemOutcome outcome : message.outcomes()) {
@@ -208,8 +212,8 @@
 	}
 
 	/**
-	 * Hands the work items of a lost peer to the VM that is in charge now, and drops the
-	 * work items that came from it.
+	 * Submits the work items that a lost peer coordinated to the present coordinators,
+	 * and cancels the work items that came from it.
 	 * @param peer the name of the peer
 	 */
 	public void peerLost(String peer) {
@@ -221,8 +225,8 @@
 			EventLog.state("pieces_moved").with("peer", peer).with("pieces", lost.size()).write();
 		}
 		lost.forEach(this::dispatch);
-		List<RemoteItem> orphans = this.cancellations.keySet().stream().filter((key) -> key.peer.equals(peer)).toList();
-		orphans.forEach((key) -> this.cancellations.remove(key).run());
+		List<RemoteItem> ofPeer = this.cancellations.keySet().stream().filter((key) -> key.peer.equals(peer)).toList();
+		ofPeer.forEach((key) -> this.cancellations.remove(key).run());
 	}
 
 	private static final class Submission {
--- a/entry/src/main/java/org/fulmargap/entry/stage/WorkItemOutcome.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/WorkItemOutcome.java
@@ -1,29 +1,29 @@
 package org.fulmargap.entry.stage;
 
 /**
- * What became of a work item of a stage.
+ * The outcome of a work item, or a report on its progress.
  *
- * @param itemId the number under which the submitter knows the work item
- * @param status how far the work item is
+ * @param itemId the submitter's id of the work item
+ * @param status the status of the work item
  * @param handle the name of the result; empty if there is none
- * @param failureDomain where the result lies; empty if there is none
+ * @param failureDomain the failure domain that keeps the result; empty if there is none
  */
 public record WorkItemOutcome(long itemId, Status status, String handle, String failureDomain) {
 
 	/**
-	 * Describes a work item whose inputs its endpoint has read.
-	 * @param itemId the number of the work item
-	 * @return the outcome
+	 * Creates the report that a work item has read its inputs.
+	 * @param itemId the id of the work item
+	 * @return the report
 	 */
 	public static WorkItemOutcome inputsRead(long itemId) {
 		return new WorkItemOutcome(itemId, Status.INPUTS_READ, "", "");
 	}
 
 	/**
-	 * Describes a work item that is done.
-	 * @param itemId the number of the work item
+	 * Creates the outcome of a work item that has a result.
+	 * @param itemId the id of the work item
 	 * @param handle the name of the result
-	 * @param failureDomain where the result lies
+	 * @param failureDomain the failure domain that keeps the result
 	 * @return the outcome
 	 */
 	public static WorkItemOutcome done(long itemId, String handle, String failureDomain) {
@@ -31,8 +31,8 @@
 	}
 
 	/**
-	 * Describes a work item that failed for good.
-	 * @param itemId the number of the work item
+	 * Creates the outcome of a work item that failed and is not retried.
+	 * @param itemId the id of the work item
 	 * @return the outcome
 	 */
 	public static WorkItemOutcome failed(long itemId) {
@@ -40,8 +40,8 @@
 	}
 
 	/**
-	 * Describes a work item that can't be made because an input is gone.
-	 * @param itemId the number of the work item
+	 * Creates the outcome of a work item that failed because an input no longer exists.
+	 * @param itemId the id of the work item
 	 * @return the outcome
 	 */
 	public static WorkItemOutcome inputGone(long itemId) {
@@ -49,28 +49,32 @@
 	}
 
 	/**
-	 * Tells whether there is a result.
-	 * @return {@code true} if there is
+	 * Tells whether the work item has a result.
+	 * @return {@code true} if it has
 	 */
 	public boolean isDone() {
 		return this.status == Status.DONE;
 	}
 
 	/**
-	 * How far a work item is.
+	 * The status of a work item. Messages between VMs contain the ordinal, so the order
+	 * of the constants must not change.
 	 */
 	public enum Status {
 
-		/** An endpoint works on it and needs its inputs no more. */
+		/**
+		 * An endpoint works on the item and is assumed to have read its inputs, which are
+		 * needed again only if the call fails.
+		 */
 		INPUTS_READ(false),
 
 		/** There is a result. */
 		DONE(true),
 
-		/** There is no result, and will be none. */
+		/** The work item failed and is not retried. */
 		FAILED(true),
 
-		/** An input is gone; the stages before have to make it again. */
+		/** An input no longer exists; the stage that produced it has to run again. */
 		INPUT_GONE(true);
 
 		private final boolean last;
@@ -80,8 +84,8 @@
 		}
 
 		/**
-		 * Tells whether nothing more is heard of the work item.
-		 * @return {@code true} if it is the last status
+		 * Tells whether this is the last status of a work item.
+		 * @return {@code true} if no other status follows
 		 */
 		public boolean isLast() {
 			return this.last;
--- a/entry/src/main/java/org/fulmargap/entry/stage/package-info.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Runs the stages of requests through calls that all entry VMs share.
+ * Runs the stages of requests in batched calls that the work items of all entry VMs
+ * share.
  */
 package org.fulmargap.entry.stage;
