--- a/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
@@ -40,8 +40,8 @@
 public final class StageCallDispatcher {
 
 	/**
-	 * A call times out after its expected time, multiplied by the slowdown factor of its
-	 * endpoint and this factor.
+	 * A call times out after its expected time, multiplied by this factor and, where it
+	 * is above 1, by the slowdown factor of its endpoint.
 	 */
 	private static final double CALL_TIMEOUT_FACTOR = 2.5;
 
