--- a/core/src/main/java/org/fulmargap/batch/AdmittedWork.java
+++ b/core/src/main/java/org/fulmargap/batch/AdmittedWork.java
@@ -4,16 +4,19 @@
 import java.util.Map;
 
 /**
- * The work items that admitted requests still need of each stage service, those of stages
- * that have not begun included: of this VM and, from their heartbeats, of its peers.
- * Confined to one thread.
+ * Counts the work items that admitted requests still need from each stage service,
+ * including those of stages that have not started. Covers the requests of this VM and, as
+ * reported in heartbeats, of its peers. Confined to one thread.
  */
 public final class AdmittedWork {
 
-	/** Requests of lower rank count like those of the lowest rank that is told apart. */
+	/**
+	 * The number of priority ranks that are counted separately. Less urgent ranks are
+	 * counted together with the last one.
+	 */
 	public static final int RANKS = 4;
 
-	/** A peer's report counts for this time, in milliseconds: a few heartbeats. */
+	/** How long a peer's report is valid, in milliseconds: a few heartbeats. */
 	private static final long REPORT_LIFETIME_MS = 1_500;
 
 	private final Map<String, int[]> own = new HashMap<>();
@@ -21,9 +24,9 @@
 	private final Map<String, Report> reports = new HashMap<>();
 
 	/**
-	 * Records work items that were admitted.
-	 * @param service the service
-	 * @param rank the rank of their request
+	 * Adds work items of a request that was admitted.
+	 * @param service the name of the service
+	 * @param rank the priority rank of the request; 0 is the most urgent
 	 * @param items the number of work items
 	 */
 	public void add(String service, int rank, int items) {
@@ -32,9 +35,9 @@
 	}
 
 	/**
-	 * Records work items that are done or no longer needed.
-	 * @param service the service
-	 * @param rank the rank of their request
+	 * Removes work items that are done or no longer needed.
+	 * @param service the name of the service
+	 * @param rank the priority rank of the request; 0 is the most urgent
 	 * @param items the number of work items
 	 */
 	public void remove(String service, int rank, int items) {
@@ -42,8 +45,8 @@
 	}
 
 	/**
-	 * Returns this VM's work items, for heartbeats.
-	 * @return the work items by rank, by service
+	 * Returns the counts of this VM, to be sent in heartbeats.
+	 * @return a copy of the number of work items by rank, by service
 	 */
 	public Map<String, int[]> own() {
 		Map<String, int[]> copy = new HashMap<>();
@@ -52,9 +55,9 @@
 	}
 
 	/**
-	 * Takes over a peer's report.
+	 * Replaces the counts of a peer by those of its newest report.
 	 * @param peer the name of the peer
-	 * @param items its work items by rank, by service
+	 * @param items its number of work items by rank, by service
 	 * @param nowMs the present time in milliseconds
 	 */
 	public void recordReport(String peer, Map<String, int[]> items, long nowMs) {
@@ -62,11 +65,11 @@
 	}
 
 	/**
-	 * Returns the work items that go before those of a new request.
-	 * @param service the service
-	 * @param rank the rank of the new request
+	 * Returns how many work items are ahead of those of a new request.
+	 * @param service the name of the service
+	 * @param rank the priority rank of the new request; 0 is the most urgent
 	 * @param nowMs the present time in milliseconds
-	 * @return the number of work items of all VMs that are as urgent or more urgent
+	 * @return the number of work items of all VMs with the same or a more urgent rank
 	 */
 	public int itemsAhead(String service, int rank, long nowMs) {
 		int sum = sum(this.own.get(service), rank);
--- a/core/src/main/java/org/fulmargap/batch/AvailableEndpoints.java
+++ b/core/src/main/java/org/fulmargap/batch/AvailableEndpoints.java
@@ -4,22 +4,22 @@
 import java.util.Map;
 
 /**
- * How many endpoints of each stage service work, in units of endpoints of usual speed. An
- * endpoint that crashed stays listed for seconds; only the VM in charge of a service
- * calls its endpoints and notices at once, so it tells the others. Confined to one
- * thread.
+ * Keeps the number of available endpoints of each stage service, in units of endpoints of
+ * usual speed. The platform lists a crashed endpoint for some seconds more. Only the
+ * coordinator of a service calls its endpoints and detects the crash at once, so it
+ * reports the number of available endpoints to the other VMs. Confined to one thread.
  */
 public final class AvailableEndpoints {
 
-	/** A report counts for this time, in milliseconds: a few heartbeats. */
+	/** How long a report is valid, in milliseconds: a few heartbeats. */
 	private static final long REPORT_LIFETIME_MS = 1_500;
 
 	private final Map<String, Report> reports = new HashMap<>();
 
 	/**
-	 * Takes over what a VM reports of the services that it is in charge of.
+	 * Replaces the report of a VM about the services that it coordinates.
 	 * @param vm the name of the VM
-	 * @param endpoints the endpoints by service
+	 * @param endpoints the number of available endpoints of usual speed, by service
 	 * @param nowMs the present time in milliseconds
 	 */
 	public void recordReport(String vm, Map<String, Double> endpoints, long nowMs) {
@@ -27,12 +27,13 @@
 	}
 
 	/**
-	 * Returns the endpoints of a service that work.
+	 * Returns the number of available endpoints of a service.
 	 * @param service the name of the service
-	 * @param coordinator the VM that makes the calls of the service
-	 * @param listed the endpoints that the platform lists, which count without a report
+	 * @param coordinator the name of the VM that makes the calls of the service
+	 * @param listed the number of endpoints that the platform lists; it is an upper limit
+	 * and the result if there is no valid report
 	 * @param nowMs the present time in milliseconds
-	 * @return the number of endpoints of usual speed
+	 * @return the number of available endpoints, in units of endpoints of usual speed
 	 */
 	public double count(String service, String coordinator, int listed, long nowMs) {
 		Report report = this.reports.get(coordinator);
--- a/core/src/main/java/org/fulmargap/batch/BatchScheduler.java
+++ b/core/src/main/java/org/fulmargap/batch/BatchScheduler.java
@@ -13,37 +13,44 @@
 import org.fulmargap.placement.Endpoint;
 
 /**
- * Forms the calls to the endpoints of one stage service out of the work items of all
- * entry VMs. An endpoint gets its next call when the one before is done, so that work
- * items which arrive meanwhile share that call: on busy days calls fill up by themselves,
- * on calm days no work item waits for company.
+ * Batches the work items of all entry VMs into calls to the endpoints of one stage
+ * service. An endpoint gets its next call when it has a free slot, and the work items
+ * that arrived in the meantime share that call. Batches therefore grow with the load, and
+ * no work item is delayed only to fill a batch.
  * <p>
- * The most urgent work items go first: those of more urgent requests, then those that are
- * due earlier. In an overload that order alone would make every request late, so work
- * items that are late already wait behind those that can still be in time.
+ * Work items are scheduled earliest deadline first, where a less urgent priority counts
+ * as a later deadline. In an overload that order alone would make every request late, so
+ * work items that can no longer be in time wait behind those that still can.
  * <p>
- * Room for results binds before the time of the endpoints does. The work items of one
- * stage of one request share a call where they can, because the results of the first ones
- * take up room until the last one is done, and results that were read may go when others
- * need their room. Confined to one thread.
+ * The space for results limits the throughput more than the time of the endpoints does.
+ * The work items of one stage of one request are put into the same call if possible,
+ * because the results of the first ones occupy space until the last one is done. Results
+ * that were read are evicted when space is needed for others. Confined to one thread.
  */
 public final class BatchScheduler {
 
 	/**
-	 * How much earlier a work item is due for each rank of its request, in milliseconds.
+	 * How much later the deadline counts for each step of priority below the most urgent
+	 * one, in milliseconds.
 	 */
-	private static final long RANK_MS = 600;
+	private static final long PRIORITY_STEP_MS = 600;
 
 	/**
-	 * How much larger results may be than the configuration says, which is approximate.
+	 * The factor by which results may exceed their configured size, which is approximate.
 	 */
 	private static final double SIZE_MARGIN = 1.05;
 
-	/** A call is chosen among the most urgent work items: this many times its size. */
+	/**
+	 * The number of most urgent work items from which a call is formed, as a multiple of
+	 * the batch size.
+	 */
 	private static final double CANDIDATE_BATCHES = 2.5;
 
-	/** While this many full calls wait, no endpoint is left idle. */
-	private static final int BUSY_BATCHES = 2;
+	/**
+	 * With more work items waiting than this multiple of the batch size, no endpoint is
+	 * left idle for the sake of locality.
+	 */
+	private static final int MAX_BATCHES_FOR_LOCALITY = 2;
 
 	private static final Comparator<WorkItem> MOST_URGENT = Comparator.comparingLong(BatchScheduler::urgencyMs)
 		.thenComparing(WorkItem::attemptId)
@@ -62,26 +69,26 @@
 
 	/**
 	 * Creates a scheduler.
-	 * @param capacity what one endpoint can take
+	 * @param capacity the capacity of one endpoint
 	 */
 	public BatchScheduler(StageCapacity capacity) {
 		this.capacity = capacity;
 	}
 
 	private static long urgencyMs(WorkItem item) {
-		return item.dueAtMs() + item.priority() * RANK_MS;
+		return item.dueAtMs() + item.priority() * PRIORITY_STEP_MS;
 	}
 
 	/**
 	 * Replaces the capacity after a change of the configuration.
-	 * @param capacity what one endpoint can take
+	 * @param capacity the capacity of one endpoint
 	 */
 	public void capacity(StageCapacity capacity) {
 		this.capacity = capacity;
 	}
 
 	/**
-	 * Adds a work item.
+	 * Adds a work item to the waiting ones.
 	 * @param item the work item
 	 */
 	public void add(WorkItem item) {
@@ -89,7 +96,7 @@
 	}
 
 	/**
-	 * Removes a work item that waits.
+	 * Removes a work item that is waiting.
 	 * @param item the work item
 	 * @return whether it was waiting
 	 */
@@ -98,25 +105,25 @@
 	}
 
 	/**
-	 * Returns the number of work items that wait.
-	 * @return the number
+	 * Returns the number of waiting work items, including late ones.
+	 * @return the number of work items
 	 */
 	public int waitingCount() {
 		return this.waiting.size() + this.late.size();
 	}
 
 	/**
-	 * Returns the number of work items that wait although they are late already.
-	 * @return the number
+	 * Returns the number of waiting work items that {@link #expire} found to be late.
+	 * @return the number of work items
 	 */
 	public int lateCount() {
 		return this.late.size();
 	}
 
 	/**
-	 * Returns the number of work items of a call whose inputs lie beside its endpoint.
+	 * Returns the number of work items of a call that are local to its endpoint.
 	 * @param call the call
-	 * @return the number
+	 * @return the number of work items
 	 */
 	public int localCount(StageCall call) {
 		return (int) call.items()
@@ -126,24 +133,24 @@
 	}
 
 	/**
-	 * Returns the room for further results at an endpoint.
+	 * Returns the space for further results at an endpoint.
 	 * @param endpoint the endpoint
 	 * @param nowMs the present time in milliseconds
-	 * @return the room in bytes
+	 * @return the free space in bytes; negative if more is used than the capacity allows
 	 */
 	public long freeBytes(Endpoint endpoint, long nowMs) {
 		return usableBytes() - resultSpace(endpoint).usedBytes(nowMs);
 	}
 
 	/**
-	 * Removes the work items that can't be done any more while somebody can use them,
-	 * counting the work items before them, and puts the late ones behind the others.
-	 * @param endpoints the number of endpoints that work
+	 * Removes the work items that can't be done before they expire, given the work items
+	 * ahead of them. Moves those that will miss their deadline behind the others.
+	 * @param endpoints the number of available endpoints
 	 * @param nowMs the present time in milliseconds
 	 * @return the removed work items
 	 */
 	public List<WorkItem> expire(int endpoints, long nowMs) {
-		// While many work items wait, calls are full and take longer.
+		// The more work items wait, the larger the next batch is and the longer it takes.
 		double expectedCallMs = expectedMs(Math.min(this.capacity.batch(), Math.max(1, waitingCount())));
 		for (Iterator<WorkItem> i = this.waiting.iterator(); i.hasNext();) {
 			WorkItem item = i.next();
@@ -175,10 +182,11 @@
 	}
 
 	/**
-	 * Forms the next call.
-	 * @param endpoints the endpoints that may get work
+	 * Forms the next call and removes its work items from the waiting ones.
+	 * @param endpoints the available endpoints
 	 * @param nowMs the present time in milliseconds
-	 * @return the call, or empty if no work item waits or no endpoint is free
+	 * @return the call, or empty if no work item waits, if no endpoint has a free slot
+	 * and enough result space, or if the work items wait for a local endpoint
 	 */
 	public Optional<StageCall> next(List<Endpoint> endpoints, long nowMs) {
 		List<Endpoint> free = endpoints.stream().filter((endpoint) -> isFree(endpoint, nowMs)).toList();
@@ -189,7 +197,7 @@
 		for (WorkItemGroup group : groups) {
 			Optional<Endpoint> best = best(group, free, nowMs);
 			if (best.isPresent() && !waitsForLocal(group, best.get(), endpoints, nowMs)) {
-				return Optional.of(take(best.get(), group, groups, endpoints, nowMs));
+				return Optional.of(createCall(best.get(), group, groups, endpoints, nowMs));
 			}
 		}
 		return Optional.empty();
@@ -219,11 +227,11 @@
 		return byDomain > 0 || (byDomain == 0 && freeBytes(endpoint, nowMs) > freeBytes(best, nowMs));
 	}
 
-	// Large inputs are not moved to another failure domain if an endpoint beside them is
-	// done with its call soon enough. While many work items wait, no endpoint is left
+	// Avoids reading large inputs from another failure domain if a local endpoint
+	// ends its call early enough. With many work items waiting, no endpoint is left
 	// idle.
 	private boolean waitsForLocal(WorkItemGroup group, Endpoint endpoint, List<Endpoint> endpoints, long nowMs) {
-		if (group.isLocal(endpoint) || waitingCount() > this.capacity.batch() * BUSY_BATCHES) {
+		if (group.isLocal(endpoint) || waitingCount() > this.capacity.batch() * MAX_BATCHES_FOR_LOCALITY) {
 			return false;
 		}
 		double latestStartMs = group.first().dueAtMs() - expectedMs(this.capacity.batch());
@@ -232,67 +240,67 @@
 					&& resultSpace(local).callEndsAtMs() <= latestStartMs);
 	}
 
-	private StageCall take(Endpoint endpoint, WorkItemGroup first, List<WorkItemGroup> groups, List<Endpoint> endpoints,
-			long nowMs) {
+	private StageCall createCall(Endpoint endpoint, WorkItemGroup first, List<WorkItemGroup> groups,
+			List<Endpoint> endpoints, long nowMs) {
 		long freeBytes = freeBytes(endpoint, nowMs);
 		List<WorkItem> items = new ArrayList<>(first.items());
-		long leftBytes = freeBytes - first.resultBytes();
-		// Groups whose inputs lie beside the endpoint go first among the most urgent
-		// ones.
+		long remainingBytes = freeBytes - first.resultBytes();
+		// Among the most urgent groups, those local to the endpoint are added first.
 		for (boolean local : new boolean[] { true, false }) {
 			for (WorkItemGroup group : groups) {
 				boolean fits = items.size() + group.items().size() <= this.capacity.batch()
-						&& group.resultBytes() <= leftBytes;
+						&& group.resultBytes() <= remainingBytes;
 				if (fits && group != first && group.isLocal(endpoint) == local
 						&& !waitsForLocal(group, endpoint, endpoints, nowMs)) {
 					items.addAll(group.items());
-					leftBytes -= group.resultBytes();
+					remainingBytes -= group.resultBytes();
 				}
 			}
 		}
 		if (waitingCount() - items.size() >= this.capacity.batch()) {
-			leftBytes = fill(items, groups, leftBytes);
+			remainingBytes = addPartialGroups(items, groups, remainingBytes);
 		}
 		items.forEach(this::remove);
 		double expectedMs = expectedMs(items.size());
-		resultSpace(endpoint).callStarted(freeBytes - leftBytes, nowMs + expectedMs * endpoint.slowdownFactor());
+		resultSpace(endpoint).callStarted(freeBytes - remainingBytes, nowMs + expectedMs * endpoint.slowdownFactor());
 		return new StageCall(endpoint, List.copyOf(items), expectedMs);
 	}
 
-	// While full calls wait, room in a call is worth more than whole requests.
-	private long fill(List<WorkItem> items, List<WorkItemGroup> groups, long freeBytes) {
-		long leftBytes = freeBytes;
+	// If a full batch remains waiting, filling this one matters more than keeping the
+	// work items of a request together.
+	private long addPartialGroups(List<WorkItem> items, List<WorkItemGroup> groups, long freeBytes) {
+		long remainingBytes = freeBytes;
 		for (WorkItemGroup group : groups) {
 			if (items.contains(group.first())) {
 				continue;
 			}
 			for (WorkItem item : group.items()) {
-				if (items.size() < this.capacity.batch() && item.resultBytes() <= leftBytes) {
+				if (items.size() < this.capacity.batch() && item.resultBytes() <= remainingBytes) {
 					items.add(item);
-					leftBytes -= item.resultBytes();
+					remainingBytes -= item.resultBytes();
 				}
 			}
 		}
-		return leftBytes;
+		return remainingBytes;
 	}
 
 	private List<WorkItemGroup> candidates() {
-		int most = (int) (this.capacity.batch() * CANDIDATE_BATCHES);
-		List<WorkItem> candidates = new ArrayList<>(most);
-		for (Iterator<WorkItem> i = this.waiting.iterator(); i.hasNext() && candidates.size() < most;) {
+		int maxCandidates = (int) (this.capacity.batch() * CANDIDATE_BATCHES);
+		List<WorkItem> candidates = new ArrayList<>(maxCandidates);
+		for (Iterator<WorkItem> i = this.waiting.iterator(); i.hasNext() && candidates.size() < maxCandidates;) {
 			candidates.add(i.next());
 		}
-		for (Iterator<WorkItem> i = this.late.iterator(); i.hasNext() && candidates.size() < most;) {
+		for (Iterator<WorkItem> i = this.late.iterator(); i.hasNext() && candidates.size() < maxCandidates;) {
 			candidates.add(i.next());
 		}
 		return WorkItemGroup.of(candidates)
 			.stream()
-			.map((group) -> group.atMost(this.capacity.batch(), usableBytes()))
+			.map((group) -> group.limitedTo(this.capacity.batch(), usableBytes()))
 			.toList();
 	}
 
 	/**
-	 * Returns the time that a call takes at an endpoint of usual speed.
+	 * Returns the expected time of a call at an endpoint of usual speed.
 	 * @param items the number of work items
 	 * @return the time in milliseconds
 	 */
@@ -301,7 +309,7 @@
 	}
 
 	/**
-	 * Records the end of a call, whatever came of it.
+	 * Records the end of a call, whether it succeeded or failed.
 	 * @param call the call
 	 */
 	public void ended(StageCall call) {
@@ -309,9 +317,10 @@
 	}
 
 	/**
-	 * Records a result.
-	 * @param endpoint the endpoint that keeps it
-	 * @param handle the name of the result
+	 * Records a result of a call. It counts as used space until it is released or its
+	 * lifetime ends.
+	 * @param endpoint the endpoint that keeps the result
+	 * @param handle the handle of the result
 	 * @param resultBytes its size in bytes
 	 * @param nowMs the present time in milliseconds
 	 */
@@ -321,8 +330,10 @@
 	}
 
 	/**
-	 * Records that an endpoint had no room for the results of a call, although there
-	 * should have been: another VM was in charge before.
+	 * Records that an endpoint ran out of space for a result although this scheduler
+	 * counted some as free. That space holds results of calls made by an earlier
+	 * coordinator. It counts as used and becomes free evenly over the lifetime of a
+	 * result.
 	 * @param endpoint the endpoint
 	 * @param nowMs the present time in milliseconds
 	 */
@@ -331,39 +342,41 @@
 	}
 
 	/**
-	 * Records that a result no longer takes up room.
-	 * @param endpointId the endpoint that kept it
-	 * @param handle the name of the result
+	 * Records that an endpoint no longer keeps a result.
+	 * @param endpointId the name of the endpoint
+	 * @param handle the handle of the result; if unknown, the result of an earlier
+	 * coordinator is assumed, with the size of the newest known result
 	 */
 	public void release(String endpointId, String handle) {
 		ResultSpace resultSpace = this.resultSpaces.get(endpointId);
 		if (resultSpace != null && !resultSpace.release(handle)) {
-			resultSpace.unownedReleased(this.newestResultBytes);
+			resultSpace.untrackedReleased(this.newestResultBytes);
 		}
 	}
 
 	/**
-	 * Records that a result is needed again only if a call fails.
-	 * @param handle the name of the result
+	 * Marks a result as evictable: it will be needed again only if a call fails.
+	 * @param handle the handle of the result
 	 */
 	public void markEvictable(String handle) {
 		this.resultSpaces.values().forEach((resultSpace) -> resultSpace.markEvictable(handle));
 	}
 
 	/**
-	 * Chooses results that may go because others need their room: while work items wait,
-	 * an endpoint should have room for a full call.
+	 * Chooses evictable results that must be released so that each endpoint has space for
+	 * the results of a full batch. Chooses none while no work items wait. The caller
+	 * releases the results at the endpoints and then calls {@link #release}.
 	 * @param nowMs the present time in milliseconds
-	 * @return the names of the results
+	 * @return the handles of the results
 	 */
 	public List<String> evict(long nowMs) {
 		List<String> handles = new ArrayList<>();
 		if (waitingCount() > 0) {
 			WorkItem first = candidates().get(0).first();
-			long wantedBytes = first.resultBytes() * this.capacity.batch();
+			long batchBytes = first.resultBytes() * this.capacity.batch();
 			for (ResultSpace resultSpace : this.resultSpaces.values()) {
 				long freeBytes = usableBytes() - resultSpace.usedBytes(nowMs);
-				handles.addAll(resultSpace.evict(wantedBytes - freeBytes));
+				handles.addAll(resultSpace.evict(batchBytes - freeBytes));
 			}
 		}
 		return handles;
--- a/core/src/main/java/org/fulmargap/batch/ResultSpace.java
+++ b/core/src/main/java/org/fulmargap/batch/ResultSpace.java
@@ -9,9 +9,10 @@
 import java.util.Set;
 
 /**
- * The room for results at one stage endpoint: what calls in flight will need, what
- * finished results still take, and what results take that another VM had made while it
- * was in charge. Of the latter only the endpoint's refusals tell.
+ * Tracks the space that results use at one stage endpoint: the space reserved for calls
+ * in flight, the space of stored results, and that of untracked results, which come from
+ * calls of an earlier coordinator. Untracked results are noticed only when the endpoint
+ * runs out of space.
  */
 final class ResultSpace {
 
@@ -23,11 +24,11 @@
 
 	private long reservedBytes;
 
-	private long unownedBytes;
+	private long untrackedBytes;
 
-	private long unownedSinceMs;
+	private long untrackedSinceMs;
 
-	private long unownedUntilMs = Long.MIN_VALUE;
+	private long untrackedUntilMs = Long.MIN_VALUE;
 
 	private int callsInFlight;
 
@@ -44,8 +45,8 @@
 		this.reservedBytes -= bytes;
 	}
 
-	void recordResult(String handle, long bytes, long untilMs) {
-		if (this.resultsByHandle.put(handle, new StoredResult(bytes, untilMs)) == null) {
+	void recordResult(String handle, long bytes, long expiresAtMs) {
+		if (this.resultsByHandle.put(handle, new StoredResult(bytes, expiresAtMs)) == null) {
 			this.storedBytes += bytes;
 		}
 	}
@@ -57,19 +58,21 @@
 	}
 
 	/**
-	 * Takes evictable results until enough room would be free.
-	 * @param bytes the room that is wanted beyond what is free, in bytes
-	 * @return the names of the results, the oldest ones first
+	 * Chooses evictable results to release and clears their mark. They use space until
+	 * {@link #release} is called.
+	 * @param bytes the space that their release must at least free, in bytes
+	 * @return the handles of the results in the order in which they were marked; with
+	 * fewer bytes than required if there are no more
 	 */
 	List<String> evict(long bytes) {
 		List<String> evicted = new ArrayList<>();
-		long leftBytes = bytes;
-		for (Iterator<String> i = this.evictable.iterator(); i.hasNext() && leftBytes > 0;) {
+		long remainingBytes = bytes;
+		for (Iterator<String> i = this.evictable.iterator(); i.hasNext() && remainingBytes > 0;) {
 			String handle = i.next();
 			i.remove();
 			StoredResult stored = this.resultsByHandle.get(handle);
 			if (stored != null) {
-				leftBytes -= stored.bytes();
+				remainingBytes -= stored.bytes();
 				evicted.add(handle);
 			}
 		}
@@ -87,32 +90,33 @@
 	}
 
 	/**
-	 * Records that the endpoint had no room for a result.
-	 * @param bytes the room that is counted as free although it isn't, in bytes
+	 * Records that the endpoint ran out of space for a result.
+	 * @param bytes the space that was counted as free although it isn't, in bytes
 	 * @param lifetimeMs how long results are kept, in milliseconds
 	 * @param nowMs the present time in milliseconds
 	 */
 	void recordOutOfSpace(long bytes, long lifetimeMs, long nowMs) {
-		this.unownedBytes = unownedBytes(nowMs) + Math.max(0, bytes);
-		this.unownedSinceMs = nowMs;
-		this.unownedUntilMs = nowMs + lifetimeMs;
+		this.untrackedBytes = untrackedBytes(nowMs) + Math.max(0, bytes);
+		this.untrackedSinceMs = nowMs;
+		this.untrackedUntilMs = nowMs + lifetimeMs;
 	}
 
 	/**
-	 * Records that a result went that another VM had made.
+	 * Records that the endpoint released an untracked result.
 	 * @param bytes its size in bytes
 	 */
-	void unownedReleased(long bytes) {
-		this.unownedBytes = Math.max(0, this.unownedBytes - bytes);
+	void untrackedReleased(long bytes) {
+		this.untrackedBytes = Math.max(0, this.untrackedBytes - bytes);
 	}
 
-	// Results of unknown age expire evenly over their lifetime.
-	private long unownedBytes(long nowMs) {
-		if (nowMs >= this.unownedUntilMs) {
+	// The age of untracked results is unknown: they are assumed to expire evenly over the
+	// lifetime of a result.
+	private long untrackedBytes(long nowMs) {
+		if (nowMs >= this.untrackedUntilMs) {
 			return 0;
 		}
-		double left = (this.unownedUntilMs - nowMs) / (double) (this.unownedUntilMs - this.unownedSinceMs);
-		return (long) (this.unownedBytes * left);
+		double leftShare = (this.untrackedUntilMs - nowMs) / (double) (this.untrackedUntilMs - this.untrackedSinceMs);
+		return (long) (this.untrackedBytes * leftShare);
 	}
 
 	int callsInFlight() {
@@ -121,7 +125,7 @@
 
 	/**
 	 * Returns when the newest call is expected to end.
-	 * @return the time in milliseconds; the past if no call is in flight
+	 * @return the time in milliseconds; negative infinity if no call is in flight
 	 */
 	double callEndsAtMs() {
 		return (this.callsInFlight > 0) ? this.callEndsAtMs : Double.NEGATIVE_INFINITY;
@@ -130,15 +134,15 @@
 	long usedBytes(long nowMs) {
 		for (Iterator<StoredResult> i = this.resultsByHandle.values().iterator(); i.hasNext();) {
 			StoredResult stored = i.next();
-			if (nowMs >= stored.untilMs()) {
+			if (nowMs >= stored.expiresAtMs()) {
 				this.storedBytes -= stored.bytes();
 				i.remove();
 			}
 		}
-		return this.storedBytes + this.reservedBytes + unownedBytes(nowMs);
+		return this.storedBytes + this.reservedBytes + untrackedBytes(nowMs);
 	}
 
-	private record StoredResult(long bytes, long untilMs) {
+	private record StoredResult(long bytes, long expiresAtMs) {
 	}
 
 }
--- a/core/src/main/java/org/fulmargap/batch/WorkItem.java
+++ b/core/src/main/java/org/fulmargap/batch/WorkItem.java
@@ -5,16 +5,18 @@
 /**
  * One unit of the work of a stage for one request.
  *
- * @param itemId the number under which the submitter knows the work item
+ * @param itemId the number that identifies the work item at the VM that submitted it
  * @param attemptId the identity of the request
  * @param stage the index of the stage in the route
  * @param index the index of the work item in the stage
- * @param inputKey the key of the request's input, or an empty text if it has inputs
- * @param inputs the results of earlier stages, or an empty list
- * @param inputDomain the failure domain where most of the inputs lie, or an empty text
- * @param priority the rank of the request; 0 is the most urgent
- * @param dueAtMs when the work item should be done, in milliseconds
- * @param expiresAtMs when nobody needs the work item any more, in milliseconds
+ * @param inputKey the key of the request's input for a stage without dependencies, else
+ * an empty string
+ * @param inputs the handles of the results of the dependencies; may be empty
+ * @param inputDomain the failure domain in which the work item should run to be local, or
+ * an empty string if any domain will do
+ * @param priority the priority of the request; 0 is the most urgent
+ * @param dueAtMs the deadline for the work item to be in time, in milliseconds
+ * @param expiresAtMs when the result is no longer of use, in milliseconds
  * @param resultBytes the approximate size of the result in bytes
  */
 public record WorkItem(long itemId, String attemptId, int stage, int index, String inputKey, List<String> inputs,
@@ -28,9 +30,9 @@
 	}
 
 	/**
-	 * Tells whether a failure domain is the best one for the work item.
+	 * Returns whether the work item is local to a failure domain.
 	 * @param failureDomain the name of the domain
-	 * @return {@code true} if its inputs lie there, or if it has none to speak of
+	 * @return {@code true} if it is the domain of its inputs, or if any domain will do
 	 */
 	public boolean isLocal(String failureDomain) {
 		return this.inputDomain.isEmpty() || this.inputDomain.equals(failureDomain);
--- a/core/src/main/java/org/fulmargap/batch/WorkItemGroup.java
+++ b/core/src/main/java/org/fulmargap/batch/WorkItemGroup.java
@@ -6,16 +6,16 @@
 import org.fulmargap.placement.Endpoint;
 
 /**
- * The work items of one stage of one request that wait. They share a call if they can: a
- * request can't go on before the last of them is done, and the results of the others take
- * up room meanwhile.
+ * The waiting work items of one stage of one request. They share a call if possible: the
+ * request needs all of them to proceed, and the results of the first ones occupy space
+ * until the last one is done.
  *
  * @param items the work items, at least one
  */
 record WorkItemGroup(List<WorkItem> items) {
 
 	/**
-	 * Gathers neighbouring work items of the same stage and request.
+	 * Groups consecutive work items of the same stage and request.
 	 * @param ordered the work items in the order of urgency
 	 * @return the groups in that order
 	 */
@@ -50,17 +50,17 @@
 	}
 
 	/**
-	 * Returns the part of the group that one call can take at all.
-	 * @param maxItems the work items that a call takes
-	 * @param mostBytes the room for results of an empty endpoint in bytes
+	 * Returns the part of the group that fits into one call.
+	 * @param maxItems the highest number of work items in a call
+	 * @param maxBytes the space for results at an endpoint without any, in bytes
 	 * @return the first work items of the group, at least one
 	 */
-	WorkItemGroup atMost(int maxItems, long mostBytes) {
+	WorkItemGroup limitedTo(int maxItems, long maxBytes) {
 		List<WorkItem> part = new ArrayList<>();
 		long bytes = 0;
 		for (WorkItem item : this.items) {
 			bytes += item.resultBytes();
-			if (!part.isEmpty() && (part.size() == maxItems || bytes > mostBytes)) {
+			if (!part.isEmpty() && (part.size() == maxItems || bytes > maxBytes)) {
 				break;
 			}
 			part.add(item);
--- a/core/src/main/java/org/fulmargap/batch/package-info.java
+++ b/core/src/main/java/org/fulmargap/batch/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Decides which work items of stage work share a call and which endpoint gets it.
+ * Batching of the work items of stage services, and admission of pipeline requests by the
+ * expected time of their stages.
  */
 package org.fulmargap.batch;
--- a/core/src/test/java/org/fulmargap/batch/AdmittedWorkTests.java
+++ b/core/src/test/java/org/fulmargap/batch/AdmittedWorkTests.java
@@ -16,38 +16,39 @@
 	private final AdmittedWork work = new AdmittedWork();
 
 	@Test
-	void itemsOfAllVmsGoBeforeANewRequest() {
+	void itemsOfAllVmsAreAheadOfANewRequest() {
 		this.work.add("service", 0, 5);
 		this.work.recordReport("peer", Map.of("service", new int[] { 1, 2, 0, 0 }), 0);
 		assertThat(this.work.itemsAhead("service", 1, 10)).isEqualTo(8);
 	}
 
 	@Test
-	void lessUrgentItemsDoNot() {
+	void lessUrgentItemsAreNotAheadOfANewRequest() {
 		this.work.add("service", 2, 5);
 		assertThat(this.work.itemsAhead("service", 1, 0)).isZero();
 		assertThat(this.work.itemsAhead("service", 9, 0)).isEqualTo(5);
 	}
 
 	@Test
-	void aSilentPeersReportIsForgotten() {
+	void anOldReportOfAPeerIsNotCounted() {
 		this.work.recordReport("peer", Map.of("service", new int[] { 4, 0, 0, 0 }), 0);
 		assertThat(this.work.itemsAhead("service", 0, 5_000)).isZero();
 	}
 
 	@Test
-	void finishedItemsNoLongerCount() {
+	void finishedItemsAreNotCounted() {
 		this.work.add("service", 0, 5);
 		this.work.remove("service", 0, 5);
 		assertThat(this.work.itemsAhead("service", 0, 0)).isZero();
 	}
 
 	@Test
-	void theBottleneckAndOneCallOfEachStageMakeTheEstimate() {
+	void theEstimateIsTheQueueOfTheBottleneckAndOneCallForEachStage() {
 		StageCapacity capacity = new StageCapacity(1, 2, 10, 200, 10, 1_000, 4_000);
 		double stagesMs = PipelineEstimate.stagesMs(List.of(new PipelineEstimate.StageLoad(capacity, 2, 100, 1),
 				new PipelineEstimate.StageLoad(capacity, 2, 40, 2)));
-		// 100 work items at 2 endpoints that do 10 in 300 ms, and two calls of 250 ms.
+		// 100 work items at 2 endpoints that each do 10 in 300 ms, and two calls of
+		// 250 ms.
 		assertThat(stagesMs).isEqualTo(1_500 + 500);
 	}
 
--- a/core/src/test/java/org/fulmargap/batch/BatchSchedulerTests.java
+++ b/core/src/test/java/org/fulmargap/batch/BatchSchedulerTests.java
@@ -15,21 +15,22 @@
  */
 class BatchSchedulerTests {
 
-	private static final long FAR_MS = 100_000;
+	private static final long EXPIRES_AT_MS = 100_000;
 
 	private final StageCapacity capacity = new StageCapacity(1, 2, 4, 200, 10, 1_000, 4_000);
 
 	private final BatchScheduler scheduler = new BatchScheduler(this.capacity);
 
-	private final Endpoint local = Endpoints.ready("near", "a");
+	private final Endpoint local = Endpoints.ready("local", "a");
 
-	private final Endpoint remote = Endpoints.ready("far", "b");
+	private final Endpoint remote = Endpoints.ready("remote", "b");
 
 	private long itemIds;
 
 	private WorkItem item(String request, int priority, long dueAtMs, long bytes, String domain) {
 		this.itemIds++;
-		return new WorkItem(this.itemIds, request, 0, 0, "key", List.of(), domain, priority, dueAtMs, FAR_MS, bytes);
+		return new WorkItem(this.itemIds, request, 0, 0, "key", List.of(), domain, priority, dueAtMs, EXPIRES_AT_MS,
+				bytes);
 	}
 
 	private WorkItem add(String request, int priority, long dueAtMs) {
@@ -39,7 +40,7 @@
 	}
 
 	@Nested
-	class Sharing {
+	class SharedCalls {
 
 		@Test
 		void itemsOfSeveralRequestsShareACall() {
@@ -52,7 +53,7 @@
 		}
 
 		@Test
-		void anEndpointGetsItsNextCallWhenTheOneBeforeIsDone() {
+		void anEndpointGetsItsNextCallWhenItsPreviousOneEnds() {
 			List<Endpoint> endpoints = List.of(BatchSchedulerTests.this.local);
 			add("one", 0, 1_000);
 			StageCall first = BatchSchedulerTests.this.scheduler.next(endpoints, 0).orElseThrow();
@@ -63,7 +64,7 @@
 		}
 
 		@Test
-		void aCallHoldsNoMoreItemsThanTheEndpointTakes() {
+		void aCallHoldsAtMostOneBatch() {
 			for (int i = 0; i < 6; i++) {
 				add("request" + i, 0, 1_000);
 			}
@@ -76,7 +77,7 @@
 	}
 
 	@Nested
-	class WholeRequests {
+	class ItemsOfOneRequest {
 
 		private void addAll(String request, long dueAtMs, int items, String domain) {
 			for (int i = 0; i < items; i++) {
@@ -89,7 +90,7 @@
 		}
 
 		@Test
-		void arePutIntoOneCall() {
+		void shareACall() {
 			addAll("one", 1_000, 3, "");
 			addAll("two", 1_010, 2, "");
 			addAll("three", 1_020, 1, "");
@@ -98,7 +99,7 @@
 		}
 
 		@Test
-		void areSplitWhileFullCallsWait() {
+		void areSplitWhileAFullBatchWaits() {
 			addAll("one", 1_000, 3, "");
 			addAll("two", 1_010, 3, "");
 			addAll("three", 1_020, 3, "");
@@ -107,16 +108,16 @@
 		}
 
 		@Test
-		void areSplitWhenOneCallCannotTakeThem() {
+		void areSplitIfTheyExceedABatch() {
 			addAll("large", 1_000, 6, "");
 			assertThat(next(BatchSchedulerTests.this.local).items()).hasSize(4);
 		}
 
 		@Test
-		void waitForTheEndpointBesideTheirInputsIfItIsFreeInTime() {
+		void waitForALocalEndpointThatIsFreeInTime() {
 			addAll("running", 1_000, 1, "a");
 			StageCall running = next(BatchSchedulerTests.this.local);
-			addAll("patient", 1_000, 2, "a");
+			addAll("waiting", 1_000, 2, "a");
 			List<Endpoint> endpoints = List.of(BatchSchedulerTests.this.local, BatchSchedulerTests.this.remote);
 			assertThat(BatchSchedulerTests.this.scheduler.next(endpoints, 0)).isEmpty();
 			BatchSchedulerTests.this.scheduler.ended(running);
@@ -125,7 +126,7 @@
 		}
 
 		@Test
-		void doNotWaitForTheEndpointBesideTheirInputsIfTheyWouldBeLate() {
+		void doNotWaitForALocalEndpointIfTheyWouldBeLate() {
 			addAll("running", 1_000, 1, "a");
 			next(BatchSchedulerTests.this.local);
 			addAll("urgent", 300, 2, "a");
@@ -139,7 +140,7 @@
 	class Order {
 
 		@Test
-		void moreUrgentRequestsGoFirst() {
+		void itemsOfMoreUrgentRequestsGoFirst() {
 			for (int i = 0; i < 4; i++) {
 				add("plain" + i, 2, 1_000);
 			}
@@ -150,7 +151,7 @@
 		}
 
 		@Test
-		void itemsThatAreLateWaitBehindThoseThatCanBeInTime() {
+		void lateItemsWaitBehindThoseThatCanBeInTime() {
 			for (int i = 0; i < 4; i++) {
 				add("late" + i, 0, 100);
 			}
@@ -163,34 +164,32 @@
 		}
 
 		@Test
-		void itemsThatNobodyCanUseAnyMoreAreRemoved() {
+		void itemsThatCannotBeDoneBeforeTheyExpireAreRemoved() {
 			WorkItem item = add("one", 0, 1_000);
-			assertThat(BatchSchedulerTests.this.scheduler.expire(1, FAR_MS - 100)).containsExactly(item);
+			assertThat(BatchSchedulerTests.this.scheduler.expire(1, EXPIRES_AT_MS - 100)).containsExactly(item);
 			assertThat(BatchSchedulerTests.this.scheduler.waitingCount()).isZero();
 		}
 
 	}
 
 	@Nested
-	class Hopeless {
+	class Queue {
 
-		// One endpoint does four work items in 240 ms: 20 work items before the last one
-		// take 1.2
-		// s.
+		// One endpoint does four work items in 240 ms: 20 work items ahead take 1.2 s.
 		@Test
-		void anItemBehindMoreThanCanBeDoneInTimeIsRefusedAtOnce() {
+		void anItemThatWouldExpireInTheQueueIsRemovedAtOnce() {
 			for (int i = 0; i < 20; i++) {
-				add("before" + i, 0, 50_000);
+				add("ahead" + i, 0, 50_000);
 			}
-			WorkItem hopeless = new WorkItem(99, "hopeless", 0, 0, "key", List.of(), "", 2, 50_100, 1_000, 10);
-			BatchSchedulerTests.this.scheduler.add(hopeless);
-			assertThat(BatchSchedulerTests.this.scheduler.expire(1, 0)).containsExactly(hopeless);
+			WorkItem expiring = new WorkItem(99, "expiring", 0, 0, "key", List.of(), "", 2, 50_100, 1_000, 10);
+			BatchSchedulerTests.this.scheduler.add(expiring);
+			assertThat(BatchSchedulerTests.this.scheduler.expire(1, 0)).containsExactly(expiring);
 		}
 
 		@Test
-		void moreEndpointsGiveItAChance() {
+		void anItemThatWouldNotExpireWithMoreEndpointsIsKept() {
 			for (int i = 0; i < 20; i++) {
-				add("before" + i, 0, 50_000);
+				add("ahead" + i, 0, 50_000);
 			}
 			BatchSchedulerTests.this.scheduler
 				.add(new WorkItem(99, "last", 0, 0, "key", List.of(), "", 2, 50_100, 1_000, 10));
@@ -203,7 +202,7 @@
 	class ResultSpaceUse {
 
 		@Test
-		void resultsTakeUpRoomUntilTheyAreReleased() {
+		void resultsUseSpaceUntilTheyAreReleased() {
 			List<Endpoint> endpoints = List.of(BatchSchedulerTests.this.local);
 			BatchSchedulerTests.this.scheduler.add(item("one", 0, 1_000, 900, ""));
 			StageCall call = BatchSchedulerTests.this.scheduler.next(endpoints, 0).orElseThrow();
@@ -211,12 +210,12 @@
 			BatchSchedulerTests.this.scheduler.recordResult(BatchSchedulerTests.this.local, "handle", 900, 0);
 			BatchSchedulerTests.this.scheduler.add(item("two", 0, 1_000, 200, ""));
 			assertThat(BatchSchedulerTests.this.scheduler.next(endpoints, 0)).isEmpty();
-			BatchSchedulerTests.this.scheduler.release("near", "handle");
+			BatchSchedulerTests.this.scheduler.release("local", "handle");
 			assertThat(BatchSchedulerTests.this.scheduler.next(endpoints, 0)).isPresent();
 		}
 
 		@Test
-		void resultsThatWereReadGoWhenOthersNeedTheRoom() {
+		void resultsThatWereReadAreEvictedWhenSpaceIsNeeded() {
 			BatchSchedulerTests.this.scheduler.recordResult(BatchSchedulerTests.this.local, "read", 300, 0);
 			BatchSchedulerTests.this.scheduler.recordResult(BatchSchedulerTests.this.local, "unread", 300, 0);
 			BatchSchedulerTests.this.scheduler.markEvictable("read");
@@ -227,7 +226,7 @@
 		}
 
 		@Test
-		void anEndpointWithoutRoomForResultsGetsNothingUntilResultsOfOtherVmsAreGone() {
+		void anEndpointOutOfSpaceGetsNoCallUntilUntrackedResultsExpire() {
 			List<Endpoint> endpoints = List.of(BatchSchedulerTests.this.local);
 			BatchSchedulerTests.this.scheduler.recordResult(BatchSchedulerTests.this.local, "own", 200, 0);
 			BatchSchedulerTests.this.scheduler.recordOutOfSpace(BatchSchedulerTests.this.local, 0);
@@ -238,12 +237,12 @@
 		}
 
 		@Test
-		void aResultOfAnotherVmThatGoesMakesRoom() {
+		void theReleaseOfAnUntrackedResultFreesSpace() {
 			List<Endpoint> endpoints = List.of(BatchSchedulerTests.this.local);
 			BatchSchedulerTests.this.scheduler.recordResult(BatchSchedulerTests.this.local, "own", 200, 0);
 			BatchSchedulerTests.this.scheduler.recordOutOfSpace(BatchSchedulerTests.this.local, 0);
 			BatchSchedulerTests.this.scheduler.add(item("one", 0, 9_000, 200, ""));
-			BatchSchedulerTests.this.scheduler.release("near", "foreign");
+			BatchSchedulerTests.this.scheduler.release("local", "untracked");
 			assertThat(BatchSchedulerTests.this.scheduler.next(endpoints, 0)).isPresent();
 		}
 
@@ -260,10 +259,10 @@
 	}
 
 	@Nested
-	class Domains {
+	class Locality {
 
 		@Test
-		void theEndpointBesideTheInputsIsChosen() {
+		void theEndpointInTheDomainOfTheInputsIsChosen() {
 			BatchSchedulerTests.this.scheduler.add(item("one", 0, 1_000, 10, "b"));
 			List<Endpoint> endpoints = List.of(BatchSchedulerTests.this.local, BatchSchedulerTests.this.remote);
 			assertThat(BatchSchedulerTests.this.scheduler.next(endpoints, 0).orElseThrow().endpoint())
@@ -271,7 +270,7 @@
 		}
 
 		@Test
-		void itemsWithInputsElsewhereFillTheCallUp() {
+		void localItemsComeFirstAndRemoteOnesFillTheBatch() {
 			BatchSchedulerTests.this.scheduler.add(item("first", 0, 1_000, 10, "a"));
 			BatchSchedulerTests.this.scheduler.add(item("second", 0, 1_010, 10, "b"));
 			BatchSchedulerTests.this.scheduler.add(item("third", 0, 1_020, 10, "a"));
--- a/core/src/test/java/org/fulmargap/batch/PipelineAdmissionTests.java
+++ b/core/src/test/java/org/fulmargap/batch/PipelineAdmissionTests.java
@@ -21,19 +21,19 @@
 	}
 
 	@Test
-	void aRequestThatCanBeInTimeIsTaken() {
+	void aRequestThatCanBeInTimeIsAdmitted() {
 		assertThat(decide(850, 0, MAX_WAIT_MS).admitted()).isTrue();
 	}
 
 	@Test
-	void aNewRequestBehindALongQueueIsRefusedAtOnceAndAskedBackWhenTheQueueIsShort() {
+	void aRequestBehindALongQueueIsRefusedWithTheTimeUntilTheQueueIsShortEnough() {
 		PipelineAdmission.Decision decision = decide(2_600, 0, MAX_WAIT_MS);
 		assertThat(decision.admitted()).isFalse();
 		assertThat(decision.retryAfterMs()).isEqualTo(1_600);
 	}
 
 	@Test
-	void stagesThatTakeTheWholeObjectiveAreNoReasonToRefuseWithoutLoad() {
+	void stagesThatExceedTheObjectiveAreRefusedOnlyUnderLoad() {
 		PipelineAdmission.ExpectedTimes unloaded = new PipelineAdmission.ExpectedTimes(1_100, 1_100, 0);
 		assertThat(PipelineAdmission.decide(unloaded, OBJECTIVE_MS, MAX_WAIT_MS).admitted()).isTrue();
 		PipelineAdmission.ExpectedTimes loaded = new PipelineAdmission.ExpectedTimes(1_300, 1_100, 0);
@@ -41,12 +41,12 @@
 	}
 
 	@Test
-	void aLongPromptAloneIsNoReasonToRefuse() {
+	void aLongPromptWithinTheMaxWaitIsAdmitted() {
 		assertThat(decide(500, 1_200, MAX_WAIT_MS).admitted()).isTrue();
 	}
 
 	@Test
-	void nobodyIsTakenWhoWouldLeaveBeforeTheAnswer() {
+	void aRequestThatWouldExceedTheMaxWaitIsRefused() {
 		assertThat(decide(800, 300, 1_000).admitted()).isFalse();
 	}
 
--- a/core/src/test/java/org/fulmargap/batch/PipelineLoad.java
+++ b/core/src/test/java/org/fulmargap/batch/PipelineLoad.java
@@ -13,9 +13,9 @@
 import org.fulmargap.placement.Endpoints;
 
 /**
- * Plays requests with stages in virtual time against endpoints that keep results in
- * limited room, as on the users' sheets, with several entry VMs that know of each other's
- * requests from heartbeats.
+ * Simulates requests with stages in virtual time, against endpoints with limited space
+ * for results. Capacities and sizes are those of the users' data sheets. Several entry
+ * VMs exchange their admitted work by heartbeats.
  */
 final class PipelineLoad {
 
@@ -31,7 +31,7 @@
 
 	private static final int VMS = 7;
 
-	private static final int CLUMP = 3;
+	private static final int MEAN_GROUP_SIZE = 3;
 
 	private static final String[] DOMAINS = { "a", "a", "b", "c" };
 
@@ -46,17 +46,17 @@
 
 	private final List<AdmittedWork> vms = new ArrayList<>();
 
-	private final boolean sparing;
+	private final boolean evictsReadInputs;
 
 	private final long heartbeatMs;
 
-	private final long playMs;
+	private final long arrivalsMs;
 
 	private double nowMs;
 
-	private long numbers;
+	private long lastNumber;
 
-	private int asked;
+	private int arrived;
 
 	private int refused;
 
@@ -66,28 +66,28 @@
 
 	private long remoteItems;
 
-	private PipelineLoad(boolean sparing, long heartbeatMs, long playMs, long objectiveMs) {
-		this.sparing = sparing;
+	private PipelineLoad(boolean evictsReadInputs, long heartbeatMs, long arrivalsMs, long objectiveMs) {
+		this.evictsReadInputs = evictsReadInputs;
 		this.objectiveMs = objectiveMs;
 		this.heartbeatMs = heartbeatMs;
 		for (int i = 0; i < VMS; i++) {
 			this.vms.add(new AdmittedWork());
 		}
-		this.playMs = playMs;
+		this.arrivalsMs = arrivalsMs;
 	}
 
 	/**
-	 * Prepares requests of three stages: one work item of {@code store-portal}, six of
-	 * {@code chain-sync} and ten of {@code legacy-bridge}.
-	 * @param sparing whether inputs are given up once they are read, not when their
-	 * reader is done
-	 * @param heartbeatMs how often the entry VMs tell each other what they admitted, in
+	 * Creates a simulation of requests with three stages: one work item of
+	 * {@code store-portal}, six of {@code chain-sync} and ten of {@code legacy-bridge}.
+	 * @param evictsReadInputs whether inputs become evictable once they are read, instead
+	 * of being kept until the stage that reads them is done
+	 * @param heartbeatMs the interval of the heartbeats between entry VMs, in
 	 * milliseconds
-	 * @param playMs how long requests arrive, in milliseconds
-	 * @return the play
+	 * @param arrivalsMs the time during which requests arrive, in milliseconds
+	 * @return the simulation
 	 */
-	static PipelineLoad deep(boolean sparing, long heartbeatMs, long playMs) {
-		PipelineLoad load = new PipelineLoad(sparing, heartbeatMs, playMs, 1_900);
+	static PipelineLoad threeStages(boolean evictsReadInputs, long heartbeatMs, long arrivalsMs) {
+		PipelineLoad load = new PipelineLoad(evictsReadInputs, heartbeatMs, arrivalsMs, 1_900);
 		load.add("store-portal", new StageCapacity(1, 2, 7, 200, 7.2, 15_750_000, 4_000), 3, 1, 8_000);
 		load.add("chain-sync", new StageCapacity(1, 2, 17, 200, 10.1176, 2_295_000, 4_000), 4, 6, 60_000);
 		load.add("legacy-bridge", new StageCapacity(1, 2, 30, 200, 5.66667, 397_059, 4_000), 4, 10, 6_000);
@@ -95,15 +95,15 @@
 	}
 
 	/**
-	 * Prepares requests of one stage: two work items of {@code store-portal} with large
-	 * results.
-	 * @param heartbeatMs how often the entry VMs tell each other what they admitted, in
+	 * Creates a simulation of requests with one stage: two work items of
+	 * {@code store-portal} with large results.
+	 * @param heartbeatMs the interval of the heartbeats between entry VMs, in
 	 * milliseconds
-	 * @param playMs how long requests arrive, in milliseconds
-	 * @return the play
+	 * @param arrivalsMs the time during which requests arrive, in milliseconds
+	 * @return the simulation
 	 */
-	static PipelineLoad shallow(long heartbeatMs, long playMs) {
-		PipelineLoad load = new PipelineLoad(true, heartbeatMs, playMs, 1_100);
+	static PipelineLoad oneStage(long heartbeatMs, long arrivalsMs) {
+		PipelineLoad load = new PipelineLoad(true, heartbeatMs, arrivalsMs, 1_100);
 		load.add("store-portal", new StageCapacity(1, 2, 7, 200, 24, 15_750_000, 4_000), 3, 2, 1_500_000);
 		return load;
 	}
@@ -113,15 +113,15 @@
 	}
 
 	/**
-	 * Plays.
-	 * @param requestsPerSecond how many requests arrive
-	 * @return this play
+	 * Runs the simulation to its end.
+	 * @param requestsPerSecond the mean rate of arrivals
+	 * @return this simulation, with its results
 	 */
-	PipelineLoad play(double requestsPerSecond) {
-		arriveAfter(requestsPerSecond);
+	PipelineLoad run(double requestsPerSecond) {
+		scheduleArrivals(requestsPerSecond);
 		for (int i = 0; i < VMS; i++) {
 			int vm = i;
-			after(i * this.heartbeatMs / (double) VMS, () -> heartbeat(vm));
+			schedule(i * this.heartbeatMs / (double) VMS, () -> heartbeat(vm));
 		}
 		while (!this.events.isEmpty()) {
 			Event event = this.events.poll();
@@ -132,31 +132,31 @@
 	}
 
 	double inTimeShare() {
-		return this.inTime / (double) this.asked;
+		return this.inTime / (double) this.arrived;
 	}
 
 	double refusedShare() {
-		return this.refused / (double) this.asked;
+		return this.refused / (double) this.arrived;
 	}
 
 	double remoteShare() {
 		return this.remoteItems / (double) this.items;
 	}
 
-	private void after(double delayMs, Runnable action) {
-		this.numbers++;
-		this.events.add(new Event(this.nowMs + delayMs, this.numbers, action));
+	private void schedule(double delayMs, Runnable action) {
+		this.lastNumber++;
+		this.events.add(new Event(this.nowMs + delayMs, this.lastNumber, action));
 	}
 
-	// Requests come in clumps of different sizes.
-	private void arriveAfter(double requestsPerSecond) {
-		double gapMs = -Math.log(1 - this.random.nextDouble()) * 1_000 * CLUMP / requestsPerSecond;
-		if (this.nowMs + gapMs < this.playMs) {
-			after(gapMs, () -> {
-				for (int i = this.random.nextInt(2 * CLUMP - 1); i >= 0; i--) {
+	// Requests arrive in groups of one to five, three on average.
+	private void scheduleArrivals(double requestsPerSecond) {
+		double gapMs = -Math.log(1 - this.random.nextDouble()) * 1_000 * MEAN_GROUP_SIZE / requestsPerSecond;
+		if (this.nowMs + gapMs < this.arrivalsMs) {
+			schedule(gapMs, () -> {
+				for (int i = this.random.nextInt(2 * MEAN_GROUP_SIZE - 1); i >= 0; i--) {
 					new Request(this.vms.get(this.random.nextInt(VMS))).arrive();
 				}
-				arriveAfter(requestsPerSecond);
+				scheduleArrivals(requestsPerSecond);
 			});
 		}
 	}
@@ -167,8 +167,8 @@
 				other.recordReport("vm" + vm, this.vms.get(vm).own(), (long) this.nowMs);
 			}
 		}
-		if (this.nowMs < this.playMs) {
-			after(this.heartbeatMs, () -> heartbeat(vm));
+		if (this.nowMs < this.arrivalsMs) {
+			schedule(this.heartbeatMs, () -> heartbeat(vm));
 		}
 	}
 
@@ -176,7 +176,7 @@
 	}
 
 	/**
-	 * A stage service.
+	 * A stage service and its endpoints.
 	 */
 	private final class Stage {
 
@@ -219,8 +219,8 @@
 		}
 
 		private void start(StageCall call) {
-			after(READ_INPUTS_MS, () -> call.items().forEach((item) -> request(item).inputsRead(this)));
-			after(call.expectedMs(), () -> end(call));
+			schedule(READ_INPUTS_MS, () -> call.items().forEach((item) -> request(item).inputsRead(this)));
+			schedule(call.expectedMs(), () -> end(call));
 			PipelineLoad.this.items += call.items().size();
 			PipelineLoad.this.remoteItems += call.items().size() - this.scheduler.localCount(call);
 		}
@@ -240,7 +240,7 @@
 		}
 
 		private void free(String handle) {
-			after(FREE_MS, () -> {
+			schedule(FREE_MS, () -> {
 				this.scheduler.release(handle.substring(0, handle.indexOf('/')), handle);
 				dispatch();
 			});
@@ -249,11 +249,11 @@
 	}
 
 	/**
-	 * A request on its way.
+	 * A request in flight.
 	 */
 	private final class Request {
 
-		private final String id = "request" + PipelineLoad.this.asked;
+		private final String id = "request" + PipelineLoad.this.arrived;
 
 		private final double arrivedAtMs = PipelineLoad.this.nowMs;
 
@@ -276,7 +276,7 @@
 		}
 
 		private void arrive() {
-			PipelineLoad.this.asked++;
+			PipelineLoad.this.arrived++;
 			List<PipelineEstimate.StageLoad> loads = new ArrayList<>();
 			for (int i = 0; i < PipelineLoad.this.stages.size(); i++) {
 				Stage stage = PipelineLoad.this.stages.get(i);
@@ -299,25 +299,25 @@
 			this.results = new ArrayList<>();
 			this.readers = 0;
 			if (this.stageIndex == PipelineLoad.this.stages.size()) {
-				after(ENGINE_MS, this::firstEvent);
+				schedule(ENGINE_MS, this::firstEvent);
 				return;
 			}
 			Stage stage = PipelineLoad.this.stages.get(this.stageIndex);
 			stage.requests.put(this.id, this);
-			long behindMs = ENGINE_MS + (PipelineLoad.this.stages.size() - 1 - this.stageIndex) * STAGE_MS;
-			long dueAtMs = (long) this.arrivedAtMs + PipelineLoad.this.objectiveMs - behindMs;
+			long remainingMs = ENGINE_MS + (PipelineLoad.this.stages.size() - 1 - this.stageIndex) * STAGE_MS;
+			long dueAtMs = (long) this.arrivedAtMs + PipelineLoad.this.objectiveMs - remainingMs;
 			for (int i = 0; i < stage.itemsPerRequest; i++) {
-				PipelineLoad.this.numbers++;
-				stage.scheduler.add(new WorkItem(PipelineLoad.this.numbers, this.id, this.stageIndex, i, "",
+				PipelineLoad.this.lastNumber++;
+				stage.scheduler.add(new WorkItem(PipelineLoad.this.lastNumber, this.id, this.stageIndex, i, "",
 						this.inputs, (this.stageIndex == 2) ? this.domain : "", 0, dueAtMs,
-						(long) this.arrivedAtMs + MAX_WAIT_MS - behindMs, stage.resultBytes));
+						(long) this.arrivedAtMs + MAX_WAIT_MS - remainingMs, stage.resultBytes));
 			}
-			after(0, stage::dispatch);
+			schedule(0, stage::dispatch);
 		}
 
 		private void inputsRead(Stage reader) {
 			this.readers++;
-			if (PipelineLoad.this.sparing && this.readers == reader.itemsPerRequest && this.stageIndex > 0) {
+			if (PipelineLoad.this.evictsReadInputs && this.readers == reader.itemsPerRequest && this.stageIndex > 0) {
 				this.inputs.forEach(PipelineLoad.this.stages.get(this.stageIndex - 1).scheduler::markEvictable);
 			}
 		}
--- a/core/src/test/java/org/fulmargap/batch/PipelineLoadTests.java
+++ b/core/src/test/java/org/fulmargap/batch/PipelineLoadTests.java
@@ -6,21 +6,21 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Checks what callers of pipelines get under the loads of the users' sheets, with seven
- * entry VMs and requests that come in clumps.
+ * Checks how many pipeline requests are answered in time under the loads of the users'
+ * data sheets, with seven entry VMs and requests that arrive in groups.
  */
 class PipelineLoadTests {
 
-	private static final long PLAY_MS = 40_000;
+	private static final long ARRIVALS_MS = 40_000;
 
 	private static final long HEARTBEAT_MS = 250;
 
-	/** The aim: within 5% of what the capacity allows. */
-	private static final double AIM = 0.95;
+	/** The required share of the requests that the capacity allows to be in time. */
+	private static final double MIN_SHARE = 0.95;
 
 	/**
-	 * Sixteen requests a second on average; four endpoints of {@code chain-sync} do 30.5
-	 * if all their calls are full.
+	 * About sixteen requests a second arrive on average. The four endpoints of
+	 * {@code chain-sync} can do 30.5 a second with full batches.
 	 */
 	@Nested
 	class ThreeStages {
@@ -29,60 +29,60 @@
 
 		private static final double CAPACITY = 30.5;
 
-		private PipelineLoad play(double requestsPerSecond) {
-			return PipelineLoad.deep(true, HEARTBEAT_MS, PLAY_MS).play(requestsPerSecond);
+		private PipelineLoad run(double requestsPerSecond) {
+			return PipelineLoad.threeStages(true, HEARTBEAT_MS, ARRIVALS_MS).run(requestsPerSecond);
 		}
 
 		@Test
-		void allAreServedInTimeOnAnAverageDay() {
-			assertThat(play(AVERAGE).inTimeShare()).isGreaterThan(AIM);
+		void requestsAtTheAverageRateAreServedInTime() {
+			assertThat(run(AVERAGE).inTimeShare()).isGreaterThan(MIN_SHARE);
 		}
 
 		@Test
-		void allAreServedInTimeAtOneAndAHalfTimesTheAverage() {
-			assertThat(play(1.5 * AVERAGE).inTimeShare()).isGreaterThan(AIM);
+		void requestsAtOneAndAHalfTimesTheAverageRateAreServedInTime() {
+			assertThat(run(1.5 * AVERAGE).inTimeShare()).isGreaterThan(MIN_SHARE);
 		}
 
 		@Test
-		void asManyAsTheCapacityAllowsAreServedInTimeInABurst() {
+		void inABurstAsManyRequestsAsTheCapacityAllowsAreServedInTime() {
 			double bound = CAPACITY / (2.5 * AVERAGE);
-			assertThat(play(2.5 * AVERAGE).inTimeShare()).isGreaterThan(AIM * bound);
+			assertThat(run(2.5 * AVERAGE).inTimeShare()).isGreaterThan(MIN_SHARE * bound);
 		}
 
 		@Test
-		void inputsThatAreGivenUpOnceTheyAreReadLetMoreBeServed() {
-			double keeping = PipelineLoad.deep(false, HEARTBEAT_MS, PLAY_MS).play(27).inTimeShare();
-			assertThat(play(27).inTimeShare()).isGreaterThan(keeping);
+		void moreRequestsAreServedInTimeIfReadInputsAreEvictable() {
+			double withoutEviction = PipelineLoad.threeStages(false, HEARTBEAT_MS, ARRIVALS_MS).run(27).inTimeShare();
+			assertThat(run(27).inTimeShare()).isGreaterThan(withoutEviction);
 		}
 
 		@Test
 		void largeInputsMostlyStayInTheirFailureDomain() {
-			// Without regard to domains, 5 of 8 work items would read their inputs from
+			// If domains were ignored, 5 of 8 work items would read their inputs from
 			// another one.
-			assertThat(play(AVERAGE).remoteShare()).isLessThan(0.1);
+			assertThat(run(AVERAGE).remoteShare()).isLessThan(0.1);
 		}
 
 	}
 
-	/** Three endpoints do 22.8 requests a second if all their calls are full. */
+	/** Three endpoints can do 22.8 requests a second with full batches. */
 	@Nested
 	class OneStage {
 
-		private PipelineLoad play(double requestsPerSecond) {
-			return PipelineLoad.shallow(HEARTBEAT_MS, PLAY_MS).play(requestsPerSecond);
+		private PipelineLoad run(double requestsPerSecond) {
+			return PipelineLoad.oneStage(HEARTBEAT_MS, ARRIVALS_MS).run(requestsPerSecond);
 		}
 
 		@Test
-		void allAreServedInTimeOnAnAverageDay() {
-			assertThat(play(14).inTimeShare()).isGreaterThan(AIM);
+		void requestsAtTheAverageRateAreServedInTime() {
+			assertThat(run(14).inTimeShare()).isGreaterThan(MIN_SHARE);
 		}
 
 		@Test
-		void whatCannotBeInTimeIsRefusedInsteadOfMakingOthersLate() {
-			PipelineLoad load = play(28);
+		void requestsBeyondTheCapacityAreRefusedAndDoNotMakeOthersLate() {
+			PipelineLoad load = run(28);
 			double late = 1 - load.inTimeShare() - load.refusedShare();
 			assertThat(load.inTimeShare()).isGreaterThan(0.7);
-			assertThat(late).isLessThan(1 - AIM);
+			assertThat(late).isLessThan(1 - MIN_SHARE);
 		}
 
 	}
--- a/core/src/test/java/org/fulmargap/batch/StageLoadTests.java
+++ b/core/src/test/java/org/fulmargap/batch/StageLoadTests.java
@@ -16,9 +16,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Plays the load of a stage service from the users' sheets in virtual time and checks
- * what callers get: {@code chain-sync} with four endpoints, 17 work items a call,
- * requests of six work items each.
+ * Simulates the load of one stage service in virtual time and checks how many requests
+ * are done in time. The capacity is that of {@code chain-sync} in the users' data sheets:
+ * four endpoints, at most 17 work items per call, six work items per request.
  */
 class StageLoadTests {
 
@@ -28,7 +28,7 @@
 
 	private static final int WORK_ITEMS = 6;
 
-	private static final long PLAY_MS = 30_000;
+	private static final long SIMULATED_MS = 30_000;
 
 	/** When the stage should be done, in milliseconds after the request's arrival. */
 	private static final long DUE_MS = 900;
@@ -36,33 +36,34 @@
 	private static final long EXPIRES_MS = 4_000;
 
 	@Test
-	void anAverageDayIsServedInTime() {
-		Result result = play(16, 0.5, false);
+	void requestsAtTheAverageRateAreServedInTime() {
+		Result result = simulate(16, 0.5, false);
 		assertThat(result.inTimeShare(0)).isGreaterThan(0.98);
 		assertThat(result.inTimeShare(2)).isGreaterThan(0.98);
 	}
 
 	@Test
-	void callsOfOneRequestEachCannotServeABurstThatSharedCallsServe() {
-		// Calls of one request each: at most four in 261 ms, or 15.3 a second.
-		assertThat(play(28, 0.5, true).inTimeShare()).isLessThan(0.6);
-		assertThat(play(28, 0.5, false).inTimeShare()).isGreaterThan(0.95);
+	void sharedCallsServeABurstThatCallsOfOneRequestEachCannot() {
+		// With calls of one request each, at most four requests are done in 261 ms, or
+		// 15.3 a second.
+		assertThat(simulate(28, 0.5, true).inTimeShare()).isLessThan(0.6);
+		assertThat(simulate(28, 0.5, false).inTimeShare()).isGreaterThan(0.95);
 	}
 
 	@Test
 	void urgentRequestsStayInTimeInAnOverload() {
-		Result result = play(40, 0.5, false);
+		Result result = simulate(40, 0.5, false);
 		assertThat(result.inTimeShare(0)).isGreaterThan(0.9);
 		assertThat(result.servedShare(2)).isGreaterThan(0.25);
 	}
 
 	@Test
-	void anOverloadWithoutUrgentRequestsStillServesItsShareInTime() {
-		// 183 work items a second are the most that four endpoints can do: 30.5 requests.
-		assertThat(play(40, 0, false).inTimeShare()).isGreaterThan(0.5);
+	void moreThanHalfOfTheRequestsAreServedInTimeInAnOverloadWithoutUrgentOnes() {
+		// Four endpoints can do at most 183 work items a second, or 30.5 requests.
+		assertThat(simulate(40, 0, false).inTimeShare()).isGreaterThan(0.5);
 	}
 
-	private static Result play(double requestsPerSecond, double urgentShare, boolean alone) {
+	private static Result simulate(double requestsPerSecond, double urgentShare, boolean singleRequestCalls) {
 		Random random = new Random(7);
 		BatchScheduler scheduler = new BatchScheduler(CHAIN_SYNC);
 		List<Endpoint> endpoints = new ArrayList<>();
@@ -75,7 +76,7 @@
 		double nextArrivalMs = 0;
 		long itemId = 0;
 		double nowMs = 0;
-		while (nowMs < PLAY_MS) {
+		while (nowMs < SIMULATED_MS) {
 			nowMs = (running.isEmpty()) ? nextArrivalMs : Math.min(nextArrivalMs, running.peek().endsAtMs());
 			if (nowMs >= nextArrivalMs) {
 				int priority = (random.nextDouble() < urgentShare) ? 0 : 2;
@@ -97,17 +98,17 @@
 				}
 			}
 			scheduler.expire(ENDPOINTS, (long) nowMs);
-			start(scheduler, endpoints, running, nowMs, alone);
+			start(scheduler, endpoints, running, nowMs, singleRequestCalls);
 		}
 		return result;
 	}
 
 	private static void start(BatchScheduler scheduler, List<Endpoint> endpoints, PriorityQueue<Running> running,
-			double nowMs, boolean alone) {
+			double nowMs, boolean singleRequestCalls) {
 		var call = scheduler.next(endpoints, (long) nowMs);
 		while (call.isPresent()) {
 			StageCall next = call.get();
-			if (alone) {
+			if (singleRequestCalls) {
 				next = firstRequestOnly(scheduler, next);
 			}
 			running.add(new Running(next, nowMs + scheduler.expectedMs(next.items().size())));
@@ -115,7 +116,7 @@
 		}
 	}
 
-	// The naive way: a call holds the work items of one request.
+	// For comparison: a call without batching across requests.
 	private static StageCall firstRequestOnly(BatchScheduler scheduler, StageCall call) {
 		String id = call.items().get(0).attemptId();
 		List<WorkItem> own = call.items().stream().filter((item) -> item.attemptId().equals(id)).toList();
@@ -134,7 +135,7 @@
 
 		private final long arrivedAtMs;
 
-		private int left = WORK_ITEMS;
+		private int itemsLeft = WORK_ITEMS;
 
 		private Request(String id, int priority, long arrivedAtMs) {
 			this.id = id;
@@ -146,37 +147,37 @@
 
 	private static final class Result {
 
-		private final int[] asked = new int[3];
+		private final int[] arrivals = new int[3];
 
 		private final int[] served = new int[3];
 
 		private final int[] inTime = new int[3];
 
 		private void arrived(Request request) {
-			// Requests that can't end before the play does say nothing.
-			if (request.arrivedAtMs < PLAY_MS - EXPIRES_MS) {
-				this.asked[request.priority]++;
+			// Requests that might not end within the simulated time are not counted.
+			if (request.arrivedAtMs < SIMULATED_MS - EXPIRES_MS) {
+				this.arrivals[request.priority]++;
 			}
 		}
 
 		private void done(Request request, long nowMs) {
-			request.left--;
-			if (request.left == 0 && request.arrivedAtMs < PLAY_MS - EXPIRES_MS) {
+			request.itemsLeft--;
+			if (request.itemsLeft == 0 && request.arrivedAtMs < SIMULATED_MS - EXPIRES_MS) {
 				this.served[request.priority]++;
 				this.inTime[request.priority] += (nowMs - request.arrivedAtMs <= DUE_MS) ? 1 : 0;
 			}
 		}
 
 		private double inTimeShare(int priority) {
-			return this.inTime[priority] / (double) Math.max(1, this.asked[priority]);
+			return this.inTime[priority] / (double) Math.max(1, this.arrivals[priority]);
 		}
 
 		private double servedShare(int priority) {
-			return this.served[priority] / (double) Math.max(1, this.asked[priority]);
+			return this.served[priority] / (double) Math.max(1, this.arrivals[priority]);
 		}
 
 		private double inTimeShare() {
-			return (this.inTime[0] + this.inTime[2]) / (double) Math.max(1, this.asked[0] + this.asked[2]);
+			return (this.inTime[0] + this.inTime[2]) / (double) Math.max(1, this.arrivals[0] + this.arrivals[2]);
 		}
 
 	}
