--- a/core/src/main/java/org/fulmargap/placement/Choice.java
+++ b/core/src/main/java/org/fulmargap/placement/Choice.java
@@ -1,12 +1,12 @@
 package org.fulmargap.placement;
 
 /**
- * The endpoint that was chosen for a request, with the inputs of the decision.
+ * The endpoint chosen for a request, with the figures behind the decision.
  *
  * @param endpoint the endpoint
- * @param costMs the expected time to the first byte of the answer, in milliseconds
+ * @param costMs the estimated cost of the endpoint, in milliseconds
  * @param candidates the number of endpoints that could have been chosen
- * @param cachedTokens the prompt tokens that it is believed to keep
+ * @param cachedTokens the number of prompt tokens expected in its prefix cache
  */
 public record Choice(Endpoint endpoint, double costMs, int candidates, int cachedTokens) {
 }
--- a/core/src/main/java/org/fulmargap/placement/ColdStartLimiter.java
+++ b/core/src/main/java/org/fulmargap/placement/ColdStartLimiter.java
@@ -1,8 +1,9 @@
 package org.fulmargap.placement;
 
 /**
- * Spaces the requests of this entry VM to a cold endpoint. All entry VMs together keep to
- * what the endpoint bears because each takes an equal share of its rate.
+ * Limits the rate of requests from this entry VM to a cold endpoint by spacing them
+ * evenly. Each entry VM uses an equal share of the rate that the endpoint can handle, so
+ * that all of them together stay within it.
  */
 final class ColdStartLimiter {
 
@@ -15,21 +16,24 @@
 	private long checkedAtMs;
 
 	/**
-	 * Tells whether one more request may be sent.
-	 * @param perSecond this VM's share of the requests a second
+	 * Returns whether one more request may be sent. Remembers the rate and the time for
+	 * {@link #recordSent}.
+	 * @param perSecond this VM's share of the rate, in requests per second; 0 for no
+	 * limit
 	 * @param nowMs the present time in milliseconds
-	 * @return {@code true} if it may
+	 * @return {@code true} if the request may be sent
 	 */
-	boolean isAvailable(double perSecond, long nowMs) {
+	boolean maySend(double perSecond, long nowMs) {
 		this.intervalMs = (perSecond > 0) ? MS_PER_SECOND / perSecond : 0;
 		this.checkedAtMs = nowMs;
 		return nowMs >= this.nextAtMs;
 	}
 
 	/**
-	 * Records that a request is sent, after {@link #isAvailable} allowed it.
+	 * Records that a request is sent. The next one may be sent one interval after the
+	 * last check by {@link #maySend}.
 	 */
-	void take() {
+	void recordSent() {
 		this.nextAtMs = this.checkedAtMs + (long) this.intervalMs;
 	}
 
--- a/core/src/main/java/org/fulmargap/placement/Endpoint.java
+++ b/core/src/main/java/org/fulmargap/placement/Endpoint.java
@@ -4,20 +4,22 @@
 import java.util.Map;
 
 /**
- * An endpoint as this entry VM knows it: its record in the store, the calls in flight,
- * what peers report and how its calls end. Confined to one thread.
+ * The state of an endpoint as seen by this entry VM: its record in the store, the
+ * requests in flight, the loads reported by peers, and the outcomes of its calls.
+ * Confined to one thread.
  */
 public final class Endpoint {
 
-	/** A peer's report counts for this time, in milliseconds: a few heartbeats. */
+	/** How long a peer's report is valid, in milliseconds: a few heartbeats. */
 	private static final long REPORT_LIFETIME_MS = 1_500;
 
-	/** The weight of the newest call in the moving ratio of measured to expected time. */
+	/** The weight of the newest call in the moving average of the slowdown factor. */
 	private static final double SLOWDOWN_WEIGHT = 0.25;
 
-	/** The bounds of that ratio, so that one odd call doesn't decide. */
+	/** The lower bound of a call's ratio, to limit the effect of outliers. */
 	private static final double MIN_SLOWDOWN_FACTOR = 0.5;
 
+	/** The upper bound of a call's ratio, to limit the effect of outliers. */
 	private static final double MAX_SLOWDOWN_FACTOR = 20;
 
 	private final Map<String, PeerLoad> peerLoads = new HashMap<>();
@@ -47,7 +49,7 @@
 	}
 
 	/**
-	 * Returns the newest record of the endpoint.
+	 * Returns the newest record of the endpoint in the store.
 	 * @return the record
 	 */
 	public EndpointRecord record() {
@@ -71,16 +73,16 @@
 	}
 
 	/**
-	 * Tells whether new work may be sent to the endpoint.
+	 * Returns whether new work may be sent to the endpoint.
 	 * @param nowMs the present time in milliseconds
-	 * @return {@code true} if it is neither draining nor gone
+	 * @return {@code true} if it is neither draining nor removed
 	 */
 	public boolean isAvailable(long nowMs) {
 		return !this.record.draining() && nowMs < this.removeAtMs;
 	}
 
 	/**
-	 * Records what the endpoint itself says of being cold.
+	 * Records that the endpoint reported itself as cold in an answer.
 	 * @param coldForMs how long it stays cold, in milliseconds
 	 * @param nowMs the present time in milliseconds
 	 */
@@ -89,36 +91,36 @@
 	}
 
 	/**
-	 * Tells whether the endpoint is cold.
+	 * Returns whether the endpoint is cold and can handle only a low rate of requests.
 	 * @param nowMs the present time in milliseconds
-	 * @return {@code true} if it bears little load
+	 * @return {@code true} if it is cold
 	 */
 	public boolean isCold(long nowMs) {
 		return nowMs < this.coldUntilMs;
 	}
 
 	boolean isWithinColdStartLimit(double perSecond, long nowMs) {
-		return !isCold(nowMs) || this.coldStartLimiter.isAvailable(perSecond, nowMs);
+		return !isCold(nowMs) || this.coldStartLimiter.maySend(perSecond, nowMs);
 	}
 
 	/**
-	 * Records that a request is sent.
+	 * Records that this VM sends a request.
 	 * @param prompt the prompt, {@link Prompt#NONE} for plain requests
 	 * @param cacheTokens the memory of the engine in tokens; 0 for other endpoints
 	 * @param nowMs the present time in milliseconds
-	 * @return the prompt tokens that the engine has to read
+	 * @return the number of prompt tokens expected to need prefill
 	 */
 	public int started(Prompt prompt, long cacheTokens, long nowMs) {
 		int unread = prompt.promptTokens() - Math.min(prompt.promptTokens(), this.prefixCache.cachedTokens(prompt));
 		this.inFlight++;
 		this.prefillTokens += unread;
 		this.prefixCache.add(prompt, cacheTokens);
-		this.coldStartLimiter.take();
+		this.coldStartLimiter.recordSent();
 		return unread;
 	}
 
 	/**
-	 * Records that a peer sent a prompt to this endpoint.
+	 * Records that a peer sent a prompt to the endpoint.
 	 * @param prompt the prompt
 	 * @param cacheTokens the memory of the engine in tokens
 	 */
@@ -127,22 +129,23 @@
 	}
 
 	/**
-	 * Records the first event of an answer.
-	 * @param unreadTokens what {@link #started} returned
+	 * Records the first event of an answer, or the end of a call without one: the prefill
+	 * of the request no longer waits.
+	 * @param unreadTokens the number returned by {@link #started}
 	 */
 	public void firstEvent(int unreadTokens) {
 		this.prefillTokens = Math.max(0, this.prefillTokens - unreadTokens);
 	}
 
 	/**
-	 * Records that a request is no longer in flight.
+	 * Records that a request of this VM is no longer in flight.
 	 */
 	public void ended() {
 		this.inFlight = Math.max(0, this.inFlight - 1);
 	}
 
 	/**
-	 * Records a call that went well.
+	 * Records a successful call. Ends a suspension and updates the slowdown factor.
 	 * @param measuredMs how long it took, in milliseconds
 	 * @param expectedMs how long it was expected to take, in milliseconds; 0 if unknown
 	 * @param nowMs the present time in milliseconds
@@ -156,8 +159,8 @@
 	}
 
 	/**
-	 * Records a call that failed.
-	 * @param suspend whether the endpoint gets nothing for a while
+	 * Records a failed call.
+	 * @param suspend whether the endpoint is suspended for some time
 	 * @param nowMs the present time in milliseconds
 	 */
 	public void failed(boolean suspend, long nowMs) {
@@ -165,24 +168,24 @@
 	}
 
 	/**
-	 * Records that the endpoint refused a call because it is full.
-	 * @param untilMs until when it gets nothing, in milliseconds
+	 * Records that the endpoint refused a call because it is busy.
+	 * @param untilMs the time until which it gets no calls, in milliseconds
 	 */
 	public void refused(long untilMs) {
 		this.busyUntilMs = Math.max(this.busyUntilMs, untilMs);
 	}
 
 	/**
-	 * Tells whether the endpoint should get nothing for the moment.
+	 * Returns whether the endpoint should get no calls at present.
 	 * @param nowMs the present time in milliseconds
-	 * @return {@code true} if calls to it failed or were refused just before
+	 * @return {@code true} if it is suspended after failures or refused a call recently
 	 */
 	public boolean isSuspended(long nowMs) {
 		return this.health.isSuspended(nowMs) || nowMs < this.busyUntilMs;
 	}
 
 	/**
-	 * Returns the share of failures among the recent calls.
+	 * Returns the share of failures among the recent calls. It decays with time.
 	 * @param nowMs the present time in milliseconds
 	 * @return the share, from 0 to 1
 	 */
@@ -191,32 +194,32 @@
 	}
 
 	/**
-	 * Takes over a peer's report.
+	 * Replaces the load reported by a peer.
 	 * @param peer the name of the peer
-	 * @param load what it has in flight here
+	 * @param load what it has in flight at the endpoint
 	 */
 	public void recordReport(String peer, PeerLoad load) {
 		this.peerLoads.put(peer, load);
 	}
 
 	/**
-	 * Returns the requests in flight.
-	 * @return the requests that this VM sent
+	 * Returns the number of requests that this VM has in flight at the endpoint.
+	 * @return the number of requests
 	 */
 	public int ownInFlight() {
 		return this.inFlight;
 	}
 
 	/**
-	 * Returns the prompt tokens that wait to be read.
-	 * @return the tokens that this VM sent
+	 * Returns the number of prompt tokens sent by this VM that wait for prefill.
+	 * @return the number of tokens
 	 */
 	public long ownPrefillTokens() {
 		return this.prefillTokens;
 	}
 
 	/**
-	 * Returns the requests that all entry VMs have in flight here.
+	 * Returns the number of requests that all entry VMs have in flight at the endpoint.
 	 * @param nowMs the present time in milliseconds
 	 * @return the number of requests
 	 */
@@ -229,7 +232,7 @@
 	}
 
 	/**
-	 * Returns the prompt tokens of all entry VMs that wait to be read here.
+	 * Returns the number of prompt tokens of all entry VMs that wait for prefill.
 	 * @param nowMs the present time in milliseconds
 	 * @return the number of tokens
 	 */
@@ -242,8 +245,8 @@
 	}
 
 	/**
-	 * Returns the moving ratio of measured to expected time.
-	 * @return 1 for an endpoint as fast as expected, more for a slower one
+	 * Returns the moving average of the ratio of measured to expected call time.
+	 * @return the ratio; 1 if the endpoint is as fast as expected, more if it is slower
 	 */
 	public double slowdownFactor() {
 		return this.slowdownFactor;
--- a/core/src/main/java/org/fulmargap/placement/EndpointDirectory.java
+++ b/core/src/main/java/org/fulmargap/placement/EndpointDirectory.java
@@ -9,14 +9,14 @@
 import java.util.Set;
 
 /**
- * All endpoints that the platform's store lists, by service. Confined to one thread.
+ * The endpoints listed in the platform's store, by service. Confined to one thread.
  */
 public final class EndpointDirectory {
 
 	/**
-	 * How long an endpoint whose record lapsed during an outage of the store is still
-	 * used, in milliseconds: less than the time in which leaving endpoints must be left
-	 * alone.
+	 * How long an endpoint is still used if its record may have expired because of an
+	 * outage of the store, in milliseconds. Must be less than the time within which a
+	 * leaving endpoint must no longer get new work.
 	 */
 	public static final long LAPSE_GRACE_MS = 1_000;
 
@@ -27,7 +27,7 @@
 	private Set<String> evacuatedDomains = Set.of();
 
 	/**
-	 * Takes over a record.
+	 * Adds or updates an endpoint.
 	 * @param record the newest record of an endpoint
 	 * @param nowMs the present time in milliseconds
 	 * @return what changed
@@ -50,7 +50,7 @@
 	}
 
 	/**
-	 * Removes an endpoint.
+	 * Marks an endpoint as removed. It stays known until {@link #purge}.
 	 * @param id the name of the endpoint
 	 * @param graceMs how long it may still be used, in milliseconds
 	 * @param nowMs the present time in milliseconds
@@ -66,7 +66,8 @@
 	}
 
 	/**
-	 * Forgets the endpoints whose time is over.
+	 * Deletes the removed endpoints whose grace period has ended and which have no
+	 * requests of this VM in flight. Draining endpoints are kept.
 	 * @param nowMs the present time in milliseconds
 	 */
 	public void purge(long nowMs) {
@@ -80,7 +81,7 @@
 	}
 
 	/**
-	 * Removes all endpoints that a complete listing of the store doesn't hold.
+	 * Removes all endpoints that are missing from a complete listing of the store.
 	 * @param ids the names in the listing
 	 * @param graceMs how long the missing ones may still be used, in milliseconds
 	 * @param nowMs the present time in milliseconds
@@ -92,7 +93,7 @@
 	}
 
 	/**
-	 * Sets the failure domains that get no new work.
+	 * Replaces the set of failure domains that get no new work.
 	 * @param domains the names of the domains
 	 */
 	public void evacuate(Set<String> domains) {
@@ -103,7 +104,7 @@
 	 * Returns the endpoints of a service that may get new work.
 	 * @param service the name of the service
 	 * @param nowMs the present time in milliseconds
-	 * @return the endpoints in the order in which they became known
+	 * @return the endpoints in the order in which they were added to the service
 	 */
 	public List<Endpoint> available(String service, long nowMs) {
 		List<Endpoint> available = new ArrayList<>();
@@ -116,18 +117,18 @@
 	}
 
 	/**
-	 * Tells whether an endpoint may get new work.
+	 * Returns whether an endpoint may get new work.
 	 * @param endpoint the endpoint
 	 * @param nowMs the present time in milliseconds
-	 * @return {@code true} if it is open and its failure domain isn't evacuated
+	 * @return {@code true} if it is available and its failure domain isn't evacuated
 	 */
 	public boolean mayUse(Endpoint endpoint, long nowMs) {
 		return endpoint.isAvailable(nowMs) && !this.evacuatedDomains.contains(endpoint.record().failureDomain());
 	}
 
 	/**
-	 * Finds an endpoint.
-	 * @param id its name
+	 * Returns the endpoint of a name.
+	 * @param id the name of the endpoint
 	 * @return the endpoint, or empty if it is not known
 	 */
 	public Optional<Endpoint> find(String id) {
@@ -135,7 +136,7 @@
 	}
 
 	/**
-	 * Returns all known endpoints.
+	 * Returns all known endpoints, including draining and removed ones.
 	 * @return the endpoints
 	 */
 	public List<Endpoint> all() {
@@ -147,14 +148,14 @@
 	}
 
 	/**
-	 * What a record changed.
+	 * The effect of a record.
 	 */
 	public enum Change {
 
 		/** The endpoint was not known before. */
 		ADDED,
 
-		/** The endpoint has begun to leave. */
+		/** The endpoint has started to drain. */
 		DRAINING,
 
 		/** Something else changed, or nothing. */
--- a/core/src/main/java/org/fulmargap/placement/EndpointRecord.java
+++ b/core/src/main/java/org/fulmargap/placement/EndpointRecord.java
@@ -3,13 +3,13 @@
 import java.util.Objects;
 
 /**
- * What an endpoint says of itself in the platform's store.
+ * The record of an endpoint in the platform's store.
  *
- * @param id the name of this start of the endpoint
+ * @param id the name of the endpoint, usually unique to one start of its process
  * @param service the service that it belongs to
  * @param address its address as {@code IP:port}
  * @param failureDomain the failure domain in which it runs
- * @param draining whether it is about to leave
+ * @param draining whether it is draining and must get no new work
  * @param coldForMs how long it stays cold from the time of the record, in milliseconds
  * @param startedAtMs when it started, in milliseconds since the epoch; 0 if not stated
  */
@@ -18,6 +18,7 @@
 
 	/**
 	 * Creates a record.
+	 * @throws NullPointerException if id, service or address is null
 	 */
 	public EndpointRecord {
 		Objects.requireNonNull(id, "id");
@@ -26,9 +27,9 @@
 	}
 
 	/**
-	 * Tells whether another record of the same name speaks of the same process.
+	 * Returns whether another record of the same name belongs to the same process.
 	 * @param other the other record
-	 * @return {@code true} if it does
+	 * @return {@code true} if start time, address and service are the same
 	 */
 	public boolean isSameProcess(EndpointRecord other) {
 		return this.startedAtMs == other.startedAtMs && this.address.equals(other.address)
--- a/core/src/main/java/org/fulmargap/placement/PeerLoad.java
+++ b/core/src/main/java/org/fulmargap/placement/PeerLoad.java
@@ -1,11 +1,11 @@
 package org.fulmargap.placement;
 
 /**
- * What one other entry VM has sent to an endpoint and not got an answer for yet.
+ * The load of an endpoint by the requests of one other entry VM.
  *
- * @param inFlight the requests in flight
- * @param prefillTokens the prompt tokens of requests that have no first event yet
- * @param reportedAtMs when the report arrived, in milliseconds
+ * @param inFlight the number of requests in flight
+ * @param prefillTokens the number of prompt tokens that wait for prefill
+ * @param reportedAtMs when the report was received, in milliseconds
  */
 public record PeerLoad(int inFlight, long prefillTokens, long reportedAtMs) {
 }
--- a/core/src/main/java/org/fulmargap/placement/Placement.java
+++ b/core/src/main/java/org/fulmargap/placement/Placement.java
@@ -8,43 +8,49 @@
 import org.fulmargap.catalog.ServiceSpec;
 
 /**
- * Chooses the endpoint that is expected to answer a request first.
+ * Chooses the endpoint with the lowest expected cost for a request. The cost is mainly
+ * the time to the first token, or the time of the answer of a plain endpoint.
  */
 public final class Placement {
 
 	/**
-	 * The prompt tokens that an engine reads in a millisecond, from the users' sheets.
+	 * The prefill rate of an engine in tokens per millisecond, from the users' data
+	 * sheets.
 	 */
 	public static final double PREFILL_TOKENS_PER_MS = 38;
 
-	/** What a request that decodes adds to the time of others, in milliseconds. */
+	/** The delay by the decoding of each request in flight, in milliseconds. */
 	private static final double DECODE_MS_PER_REQUEST = 3;
 
-	/** What a waiting request adds at a plain endpoint, in milliseconds. */
+	/** The cost of each request at a plain endpoint, in milliseconds. */
 	private static final double PLAIN_MS_PER_REQUEST = 20;
 
-	/** The time to another failure domain and back, in milliseconds. */
+	/** The round-trip time to another failure domain, in milliseconds. */
 	private static final double REMOTE_DOMAIN_MS = 2;
 
-	/** What a failed call costs, in milliseconds: about a caller's second attempt. */
+	/** The cost of a failed call, in milliseconds: about that of a caller's retry. */
 	private static final double FAILURE_MS = 1_000;
 
-	/** The weight of the bytes of inputs that would cross domains, in bytes a ms. */
+	/** The input bytes from other failure domains that cost one millisecond. */
 	private static final double REMOTE_BYTES_PER_MS = 20_000;
 
 	/**
-	 * How much a prompt token that must be read again counts against one that waits: it
-	 * also costs the other requests of the engine time.
+	 * The weight of a prompt token of this request that needs prefill, relative to one
+	 * already waiting. It is higher because the prefill also delays the other requests of
+	 * the engine.
 	 */
 	private static final double UNREAD_WEIGHT = 3;
 
-	/** The tie-break by hash of the shared prompt part spans this time, in ms. */
+	/**
+	 * The highest cost added by the hash of the shared prompt part, in milliseconds. It
+	 * breaks ties so that all VMs prefer the same engine.
+	 */
 	private static final double HASH_SPREAD_MS = 40;
 
 	private final String ownDomain;
 
 	/**
-	 * Creates the placement of one entry VM.
+	 * Creates the placement for one entry VM.
 	 * @param ownDomain the failure domain of the VM
 	 */
 	public Placement(String ownDomain) {
@@ -55,27 +61,29 @@
 	 * Chooses an endpoint.
 	 * @param available the endpoints that may get new work
 	 * @param excluded the names of endpoints that this request must not use again
-	 * @param service the service
+	 * @param service the service of the endpoints
 	 * @param demand what the request needs
-	 * @param vmCount the entry VMs that share the allowance of cold endpoints
+	 * @param vmCount the number of entry VMs that share the rate limit of cold endpoints
 	 * @param nowMs the present time in milliseconds
-	 * @return the choice, or empty if no endpoint can take the request now
+	 * @return the choice, or empty if all endpoints are excluded or at their cold-start
+	 * limit
 	 */
 	public Optional<Choice> choose(List<Endpoint> available, Set<String> excluded, ServiceSpec service, Demand demand,
 			int vmCount, long nowMs) {
 		Optional<Choice> healthy = best(available, excluded, service, demand, vmCount, false, nowMs);
-		// When all are suspended, one of them is better than a certain refusal.
+		// If all are suspended, trying one of them is better than refusing the request.
 		return (healthy.isPresent()) ? healthy : best(available, excluded, service, demand, vmCount, true, nowMs);
 	}
 
 	private Optional<Choice> best(List<Endpoint> available, Set<String> excluded, ServiceSpec service, Demand demand,
-			int vmCount, boolean suspended, long nowMs) {
+			int vmCount, boolean includeSuspended, long nowMs) {
 		Endpoint best = null;
 		double bestMs = Double.MAX_VALUE;
 		double coldShare = service.coldPerSecond() / Math.max(1, vmCount);
 		int candidates = 0;
 		for (Endpoint endpoint : available) {
-			boolean usable = !excluded.contains(endpoint.record().id()) && (suspended || !endpoint.isSuspended(nowMs))
+			boolean usable = !excluded.contains(endpoint.record().id())
+					&& (includeSuspended || !endpoint.isSuspended(nowMs))
 					&& endpoint.isWithinColdStartLimit(coldShare, nowMs);
 			if (!usable) {
 				continue;
@@ -90,7 +98,7 @@
 		if (best == null) {
 			return Optional.empty();
 		}
-		// Leaves the counter of the cold allowance at the chosen endpoint.
+		// Records the rate and time of this check in the limiter of the chosen endpoint.
 		best.isWithinColdStartLimit(coldShare, nowMs);
 		return Optional.of(new Choice(best, bestMs, candidates, best.cachedTokens(demand.prompt())));
 	}
@@ -107,9 +115,9 @@
 
 	private static double engineMs(Endpoint endpoint, Prompt prompt, long nowMs) {
 		int unread = prompt.promptTokens() - Math.min(prompt.promptTokens(), endpoint.cachedTokens(prompt));
-		double readMs = (unread * UNREAD_WEIGHT + endpoint.prefillTokens(nowMs)) / PREFILL_TOKENS_PER_MS;
+		double prefillMs = (unread * UNREAD_WEIGHT + endpoint.prefillTokens(nowMs)) / PREFILL_TOKENS_PER_MS;
 		double spread = hash(prompt.affinityKey() + '@' + endpoint.record().id());
-		return readMs + endpoint.inFlight(nowMs) * DECODE_MS_PER_REQUEST + spread * HASH_SPREAD_MS;
+		return prefillMs + endpoint.inFlight(nowMs) * DECODE_MS_PER_REQUEST + spread * HASH_SPREAD_MS;
 	}
 
 	private static double hash(String text) {
@@ -121,9 +129,9 @@
 	}
 
 	/**
-	 * What a request needs of an endpoint.
+	 * What a request needs from an endpoint.
 	 *
-	 * @param prompt the prompt
+	 * @param prompt the prompt, {@link Prompt#NONE} for plain requests
 	 * @param inputs the results of earlier stages that the endpoint has to fetch
 	 */
 	public record Demand(Prompt prompt, Collection<Input> inputs) {
@@ -139,9 +147,9 @@
 	}
 
 	/**
-	 * The result of a stage.
+	 * The result of a work item, as an input of a request.
 	 *
-	 * @param failureDomain where it lies
+	 * @param failureDomain the failure domain of the endpoint that keeps it
 	 * @param sizeBytes its size in bytes
 	 */
 	public record Input(String failureDomain, long sizeBytes) {
--- a/core/src/main/java/org/fulmargap/placement/PrefixCache.java
+++ b/core/src/main/java/org/fulmargap/placement/PrefixCache.java
@@ -4,12 +4,13 @@
 import java.util.Map;
 
 /**
- * The prompt parts that a model engine is believed to keep: those that this VM or a peer
- * has sent there. The least recently used parts are forgotten first, as in the engine.
+ * An estimate of the contents of a model engine's prefix cache: the prompt parts that
+ * this VM or a peer has sent there. The least recently used parts are evicted first, as
+ * in the engine.
  */
 final class PrefixCache {
 
-	/** The share of an engine's memory that is counted on for cached parts. */
+	/** The share of an engine's memory that is assumed to hold cached parts. */
 	private static final double CACHE_SHARE = 0.6;
 
 	private final LinkedHashMap<String, Integer> tokensByPart = new LinkedHashMap<>(16, 0.75f, true);
@@ -17,7 +18,7 @@
 	private long tokens;
 
 	/**
-	 * Counts the tokens at the beginning of a prompt that need not be read again.
+	 * Returns the number of tokens at the beginning of a prompt that need no prefill.
 	 * @param prompt the prompt
 	 * @return the number of tokens
 	 */
@@ -33,7 +34,7 @@
 	}
 
 	/**
-	 * Records that a prompt was sent to the engine.
+	 * Adds the parts of a prompt that was sent to the engine.
 	 * @param prompt the prompt
 	 * @param capacityTokens the memory of the engine in tokens
 	 */
--- a/core/src/main/java/org/fulmargap/placement/Prompt.java
+++ b/core/src/main/java/org/fulmargap/placement/Prompt.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * The size of a generation and the parts of its prompt.
+ * The size of a generation request and the parts of its prompt.
  *
- * @param promptTokens the tokens of the prompt
+ * @param promptTokens the length of the prompt in tokens
  * @param maxOutputTokens the highest number of tokens to generate
  * @param parts the parts of the prompt in order
  */
@@ -22,9 +22,10 @@
 	}
 
 	/**
-	 * Returns the identity of the longest part that other requests may share: the last
-	 * but one, because the last part belongs to one request or session.
-	 * @return the identity, or an empty text without parts
+	 * Returns the identity of the last part that other requests may share. This is the
+	 * last but one, because the last part belongs to one request or session. A single
+	 * part counts as shared.
+	 * @return the identity, or an empty string if there are no parts
 	 */
 	public String affinityKey() {
 		if (this.parts.isEmpty()) {
--- a/core/src/main/java/org/fulmargap/placement/RetryRule.java
+++ b/core/src/main/java/org/fulmargap/placement/RetryRule.java
@@ -1,23 +1,23 @@
 package org.fulmargap.placement;
 
 /**
- * Decides whether a request whose call failed may be sent to another endpoint.
+ * Decides whether a request may be sent to another endpoint after a failed call.
  */
 public final class RetryRule {
 
-	/** The calls that one request may make without having run, refused ones included. */
+	/** The highest number of calls for one request, including refused ones. */
 	public static final int MAX_CALLS = 4;
 
 	private RetryRule() {
 	}
 
 	/**
-	 * Decides.
+	 * Returns whether another call may be made.
 	 * @param retryable whether the request may run more than once
 	 * @param mayHaveRun whether the failed call may have run
-	 * @param runs the calls that may have run so far, the failed one included
-	 * @param maxRuns the endpoints on which the request may run
-	 * @param calls all calls so far
+	 * @param runs the number of calls that may have run so far, including the failed one
+	 * @param maxRuns the highest number of endpoints on which the request may run
+	 * @param calls the number of all calls so far
 	 * @return {@code true} if another call may be made
 	 */
 	public static boolean mayRetry(boolean retryable, boolean mayHaveRun, int runs, int maxRuns, int calls) {
--- a/core/src/main/java/org/fulmargap/placement/SharedRetryBudget.java
+++ b/core/src/main/java/org/fulmargap/placement/SharedRetryBudget.java
@@ -4,12 +4,15 @@
 import java.util.Map;
 
 /**
- * This entry VM's share of the repeats that a service may get from all entry VMs within a
- * window. Confined to one thread.
+ * The share of this entry VM in the retries that a service may get from all entry VMs
+ * within a time window. A token bucket for each service. Confined to one thread.
  */
 public final class SharedRetryBudget {
 
-	/** The part of the users' bounds that is used; the rest covers differing views. */
+	/**
+	 * The share of the configured limits that is used. The rest covers VMs that disagree
+	 * on the number of entry VMs.
+	 */
 	private static final double SAFETY = 0.7;
 
 	private final Map<String, Bucket> buckets = new HashMap<>();
@@ -22,8 +25,8 @@
 
 	/**
 	 * Creates a budget.
-	 * @param ratio the repeats that each first request earns
-	 * @param slack the further repeats a window, of all entry VMs together
+	 * @param ratio the number of retries that each first request adds to the budget
+	 * @param slack the number of further retries per window, of all entry VMs together
 	 * @param windowMs the length of the window in milliseconds
 	 */
 	public SharedRetryBudget(double ratio, double slack, long windowMs) {
@@ -33,8 +36,8 @@
 	}
 
 	/**
-	 * Records a first request, which earns a part of a repeat.
-	 * @param service the service
+	 * Records a first request, which adds a part of a retry to the budget.
+	 * @param service the name of the service
 	 */
 	public void firstRequest(String service) {
 		Bucket bucket = this.buckets.computeIfAbsent(service, (name) -> new Bucket());
@@ -42,26 +45,25 @@
 	}
 
 	/**
-	 * Takes one repeat.
-	 * @param service the service
-	 * @param vmCount the entry VMs that share the slack
+	 * Uses one retry of the budget if there is one.
+	 * @param service the name of the service
+	 * @param vmCount the number of entry VMs that share the slack
 	 * @param nowMs the present time in milliseconds
-	 * @return {@code true} if the repeat may be made
+	 * @return {@code true} if the retry may be made
 	 */
 	public boolean tryRetry(String service, int vmCount, long nowMs) {
 		Bucket bucket = this.buckets.computeIfAbsent(service, (name) -> new Bucket());
-		// Half of the share is refilled over the window and half may be saved up: no
-		// window
-		// sees more than the share.
-		double share = this.slack / Math.max(1, vmCount) / 2;
+		// Half of the share is refilled over the window and at most half is saved up,
+		// so that no window exceeds the share.
+		double halfShare = this.slack / Math.max(1, vmCount) / 2;
 		if (bucket.refilledAtMs == Long.MIN_VALUE) {
-			bucket.tokens += share;
+			bucket.tokens += halfShare;
 		}
 		else {
-			bucket.tokens += share * (nowMs - bucket.refilledAtMs) / this.windowMs;
+			bucket.tokens += halfShare * (nowMs - bucket.refilledAtMs) / this.windowMs;
 		}
 		bucket.refilledAtMs = nowMs;
-		bucket.tokens = Math.min(bucket.tokens, Math.max(1, share));
+		bucket.tokens = Math.min(bucket.tokens, Math.max(1, halfShare));
 		if (bucket.tokens < 1) {
 			return false;
 		}
--- a/core/src/main/java/org/fulmargap/placement/package-info.java
+++ b/core/src/main/java/org/fulmargap/placement/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Which endpoints exist, what is known of them, and which of them runs a request.
+ * The endpoints, their state as seen by this entry VM, and the choice of an endpoint for
+ * a request.
  */
 package org.fulmargap.placement;
--- a/core/src/test/java/org/fulmargap/placement/EndpointDirectoryTests.java
+++ b/core/src/test/java/org/fulmargap/placement/EndpointDirectoryTests.java
@@ -28,7 +28,7 @@
 	}
 
 	@Test
-	void aRecordThatLapsedWhileTheStoreWasAwayIsUsedForAShortTime() {
+	void anEndpointRemovedWithAGracePeriodIsUsedUntilItEnds() {
 		this.directory.put(Endpoints.record("one", "a", false, 0), 0);
 		this.directory.remove("one", EndpointDirectory.LAPSE_GRACE_MS, 1_000);
 		assertThat(available(1_500)).containsExactly("one");
@@ -36,7 +36,7 @@
 	}
 
 	@Test
-	void aRecordThatIsBackAfterALapseStays() {
+	void anEndpointThatIsListedAgainWithinTheGracePeriodStays() {
 		this.directory.put(Endpoints.record("one", "a", false, 0), 0);
 		this.directory.remove("one", EndpointDirectory.LAPSE_GRACE_MS, 1_000);
 		this.directory.put(Endpoints.record("one", "a", false, 0), 1_500);
@@ -44,7 +44,7 @@
 	}
 
 	@Test
-	void anEvacuatedDomainGetsNoNewWorkUntilItIsBack() {
+	void anEvacuatedDomainGetsNoNewWorkUntilTheEvacuationEnds() {
 		this.directory.put(Endpoints.record("one", "a", false, 0), 0);
 		this.directory.put(Endpoints.record("two", "b", false, 0), 0);
 		this.directory.evacuate(Set.of("a"));
@@ -54,7 +54,7 @@
 	}
 
 	@Test
-	void endpointsThatACompleteListingLacksAreRemoved() {
+	void endpointsMissingFromACompleteListingAreRemoved() {
 		this.directory.put(Endpoints.record("one", "a", false, 0), 0);
 		this.directory.put(Endpoints.record("two", "b", false, 0), 0);
 		this.directory.retain(Set.of("two"), 0, 5);
--- a/core/src/test/java/org/fulmargap/placement/Endpoints.java
+++ b/core/src/test/java/org/fulmargap/placement/Endpoints.java
@@ -1,7 +1,7 @@
 package org.fulmargap.placement;
 
 /**
- * Endpoints for tests.
+ * Creates endpoints for tests.
  */
 public final class Endpoints {
 
@@ -9,9 +9,9 @@
 	}
 
 	/**
-	 * Creates an endpoint that is ready.
-	 * @param id its name
-	 * @param domain its failure domain
+	 * Creates an endpoint that is not cold.
+	 * @param id the name of the endpoint
+	 * @param domain the name of its failure domain
 	 * @return the endpoint
 	 */
 	public static Endpoint ready(String id, String domain) {
@@ -20,7 +20,7 @@
 
 	/**
 	 * Creates an endpoint that is cold.
-	 * @param id its name
+	 * @param id the name of the endpoint
 	 * @param coldForMs how long it stays cold, in milliseconds
 	 * @return the endpoint
 	 */
--- a/core/src/test/java/org/fulmargap/placement/PlacementTests.java
+++ b/core/src/test/java/org/fulmargap/placement/PlacementTests.java
@@ -35,7 +35,7 @@
 	class Engines {
 
 		@Test
-		void aPromptGoesWhereItsSharedPartWasRead() {
+		void theEngineWithTheSharedPromptPartInItsCacheIsChosen() {
 			Endpoint one = Endpoints.ready("one", "a");
 			Endpoint two = Endpoints.ready("two", "a");
 			two.peerSent(prompt("shared", "first"), 300_000);
@@ -48,7 +48,7 @@
 		}
 
 		@Test
-		void aLongQueueOutweighsACachedPart() {
+		void aLongQueueOutweighsACachedPromptPart() {
 			Endpoint one = Endpoints.ready("one", "a");
 			Endpoint two = Endpoints.ready("two", "a");
 			two.peerSent(prompt("shared", "first"), 300_000);
@@ -61,7 +61,7 @@
 		}
 
 		@Test
-		void severalVmsChooseTheSameEngineForANewPart() {
+		void allVmsChooseTheSameEngineForANewPromptPart() {
 			List<Endpoint> all = List.of(Endpoints.ready("one", "a"), Endpoints.ready("two", "a"),
 					Endpoints.ready("three", "a"));
 			Endpoint chosen = null;
@@ -75,7 +75,7 @@
 		}
 
 		@Test
-		void theEngineBesideLargeInputsIsChosen() {
+		void theEngineInTheDomainOfLargeInputsIsChosen() {
 			Placement.Demand demand = new Placement.Demand(Prompt.NONE,
 					List.of(new Placement.Input("b", 1_500_000), new Placement.Input("b", 1_500_000)));
 			Choice choice = PlacementTests.this.placement
@@ -91,7 +91,7 @@
 	class Health {
 
 		@Test
-		void anEndpointThatFailedIsLeftAlone() {
+		void aSuspendedEndpointIsNotChosen() {
 			Endpoint one = Endpoints.ready("one", "a");
 			Endpoint two = Endpoints.ready("two", "b");
 			one.failed(true, 0);
@@ -102,7 +102,7 @@
 		}
 
 		@Test
-		void whenAllFailedOneOfThemIsStillTried() {
+		void ifAllEndpointsAreSuspendedOneIsStillChosen() {
 			Endpoint one = Endpoints.ready("one", "a");
 			one.failed(true, 0);
 			assertThat(PlacementTests.this.placement.choose(List.of(one), Set.of(), PlacementTests.this.plain,
@@ -111,7 +111,7 @@
 		}
 
 		@Test
-		void anEndpointThatWasUsedForTheRequestIsNotUsedAgain() {
+		void anExcludedEndpointIsNotChosen() {
 			Endpoint one = Endpoints.ready("one", "a");
 			assertThat(PlacementTests.this.placement.choose(List.of(one), Set.of("one"), PlacementTests.this.plain,
 					PlacementTests.this.noPrompt, 7, 1))
@@ -119,7 +119,7 @@
 		}
 
 		@Test
-		void aSlowEndpointGetsLess() {
+		void aFastEndpointIsPreferredToASlowOne() {
 			Endpoint slow = Endpoints.ready("slow", "a");
 			Endpoint fast = Endpoints.ready("fast", "b");
 			for (int i = 0; i < 10; i++) {
@@ -137,13 +137,13 @@
 	class Cold {
 
 		@Test
-		void allVmsTogetherKeepToTheLimitOfAColdEndpoint() {
+		void allVmsTogetherStayWithinTheRateLimitOfAColdEndpoint() {
 			int vmCount = 7;
 			int sent = 0;
-			long playedMs = 3_000;
+			long simulatedMs = 3_000;
 			for (int vm = 0; vm < vmCount; vm++) {
-				Endpoint cold = Endpoints.cold("cold", playedMs);
-				for (long nowMs = 0; nowMs < playedMs; nowMs += 10) {
+				Endpoint cold = Endpoints.cold("cold", simulatedMs);
+				for (long nowMs = 0; nowMs < simulatedMs; nowMs += 10) {
 					var choice = PlacementTests.this.placement.choose(List.of(cold), Set.of(),
 							PlacementTests.this.engines, PlacementTests.this.noPrompt, vmCount, nowMs);
 					if (choice.isPresent()) {
@@ -152,7 +152,7 @@
 					}
 				}
 			}
-			// 11 a second and one more for each VM at the beginning.
+			// 11 requests a second, and one more for each VM at the start.
 			assertThat(sent).isBetween(20, 11 * 3 + vmCount);
 		}
 
--- a/core/src/test/java/org/fulmargap/placement/SharedRetryBudgetProperties.java
+++ b/core/src/test/java/org/fulmargap/placement/SharedRetryBudgetProperties.java
@@ -23,27 +23,27 @@
 	private static final long WINDOW_MS = 10_000;
 
 	@Property(tries = 60, seed = "11")
-	void theSumOverAllVmsStaysWithinTheBoundOfEachWindow(@ForAll @IntRange(min = 1, max = 12) int vmCount,
+	void theRetriesOfAllVmsStayWithinTheLimitInEachWindow(@ForAll @IntRange(min = 1, max = 12) int vmCount,
 			@ForAll @LongRange(min = 0, max = 1_000) long seed) {
 		Random random = new Random(seed);
 		SharedRetryBudget[] vms = new SharedRetryBudget[vmCount];
 		for (int i = 0; i < vmCount; i++) {
 			vms[i] = new SharedRetryBudget(RATIO, SLACK, WINDOW_MS);
 		}
-		Deque<Long> firsts = new ArrayDeque<>();
+		Deque<Long> firstRequests = new ArrayDeque<>();
 		Deque<Long> retries = new ArrayDeque<>();
 		for (long nowMs = 0; nowMs < 40_000; nowMs += 20) {
 			SharedRetryBudget vm = vms[random.nextInt(vmCount)];
 			if (random.nextInt(3) == 0) {
 				vm.firstRequest("service");
-				firsts.add(nowMs);
+				firstRequests.add(nowMs);
 			}
 			while (vm.tryRetry("service", vmCount, nowMs)) {
 				retries.add(nowMs);
 			}
 			trim(retries, nowMs - WINDOW_MS);
-			trim(firsts, nowMs - 2 * WINDOW_MS);
-			assertThat(retries.size()).isLessThanOrEqualTo((int) (RATIO * firsts.size() + SLACK));
+			trim(firstRequests, nowMs - 2 * WINDOW_MS);
+			assertThat(retries.size()).isLessThanOrEqualTo((int) (RATIO * firstRequests.size() + SLACK));
 		}
 	}
 
