--- a/core/src/main/java/org/fulmargap/catalog/Catalog.java
+++ b/core/src/main/java/org/fulmargap/catalog/Catalog.java
@@ -32,7 +32,7 @@
 	 * @param services all services by name
 	 * @param accountsByKey the client accounts by API key
 	 * @param hasAccounts whether the configuration declares client accounts
-	 * @param limits the bounds on requests
+	 * @param limits the limits on requests
 	 */
 	public Catalog(long version, List<Route> routes, Map<String, ServiceSpec> services,
 			Map<String, ClientAccount> accountsByKey, boolean hasAccounts, RequestLimits limits) {
@@ -58,8 +58,8 @@
 	}
 
 	/**
-	 * Returns the bounds on requests.
-	 * @return the bounds
+	 * Returns the limits on requests.
+	 * @return the limits
 	 */
 	public RequestLimits limits() {
 		return this.limits;
@@ -67,15 +67,15 @@
 
 	/**
 	 * Returns all services.
-	 * @return services by name
+	 * @return the services by name
 	 */
 	public Map<String, ServiceSpec> services() {
 		return this.services;
 	}
 
 	/**
-	 * Finds the route with the longest prefix of a path.
-	 * @param host the host without port
+	 * Returns the route of a host with the longest path prefix that matches a path.
+	 * @param host the host without port; its case doesn't matter
 	 * @param path the path, with or without a query
 	 * @return the route, or empty if none matches
 	 */
@@ -85,18 +85,19 @@
 	}
 
 	/**
-	 * Finds the account that holds an API key.
+	 * Returns the client account to which an API key belongs.
 	 * @param apiKey the key
-	 * @return the account, or empty if no account holds the key
+	 * @return the account, or empty if the key is unknown
 	 */
 	public Optional<ClientAccount> account(String apiKey) {
 		return Optional.ofNullable(this.accountsByKey.get(apiKey));
 	}
 
 	/**
-	 * Tells whether a request on a route needs an API key.
+	 * Returns whether a request on a route needs an API key.
 	 * @param route the route
-	 * @return {@code true} if it does
+	 * @return {@code true} if the configuration declares client accounts and the route
+	 * isn't anonymous
 	 */
 	public boolean needsKey(Route route) {
 		return this.hasAccounts && !route.anonymous();
--- a/core/src/main/java/org/fulmargap/catalog/ClientAccount.java
+++ b/core/src/main/java/org/fulmargap/catalog/ClientAccount.java
@@ -3,8 +3,9 @@
 /**
  * A client account.
  *
- * @param name the name that endpoints see
- * @param priority the rank that takes precedence over the route's, or -1 for none
+ * @param name the name of the account, which is sent to endpoints
+ * @param priority the priority that overrides that of the route, or -1 for none; 0 is the
+ * most urgent
  */
 public record ClientAccount(String name, int priority) {
 }
--- a/core/src/main/java/org/fulmargap/catalog/EngineCapacity.java
+++ b/core/src/main/java/org/fulmargap/catalog/EngineCapacity.java
@@ -1,9 +1,9 @@
 package org.fulmargap.catalog;
 
 /**
- * What one model engine can take.
+ * The capacity of one model engine.
  *
- * @param slots the requests that run in one batch
+ * @param slots the highest number of requests that run in one batch
  * @param cacheTokens the memory for running requests and cached prompts, in tokens
  */
 public record EngineCapacity(int slots, long cacheTokens) {
--- a/core/src/main/java/org/fulmargap/catalog/RequestLimits.java
+++ b/core/src/main/java/org/fulmargap/catalog/RequestLimits.java
@@ -1,16 +1,16 @@
 package org.fulmargap.catalog;
 
 /**
- * Bounds on what callers may send.
+ * Limits on the requests of callers.
  *
- * @param maxHeaderBytes the longest request head in bytes
- * @param maxBodyBytes the longest request body in bytes
- * @param headerTimeoutMs the longest time for a request head, in milliseconds
+ * @param maxHeaderBytes the highest size of a request head in bytes
+ * @param maxBodyBytes the highest size of a request body in bytes
+ * @param headerTimeoutMs the longest time to receive a request head, in milliseconds
  * @param idleTimeoutMs how long a connection may be idle, in milliseconds
  */
 public record RequestLimits(int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMs, long idleTimeoutMs) {
 
-	/** The bounds before a configuration is known. */
+	/** The limits if the configuration states none or isn't known yet. */
 	public static final RequestLimits DEFAULT = new RequestLimits(16_384, 4_194_304, 3_000, 15_000);
 
 }
--- a/core/src/main/java/org/fulmargap/catalog/Route.java
+++ b/core/src/main/java/org/fulmargap/catalog/Route.java
@@ -5,38 +5,40 @@
 import java.util.TreeSet;
 
 /**
- * A kind of request that operators have declared.
+ * A kind of request that is declared in the operators' configuration.
  *
  * @param name the name of the route
  * @param host the host that selects it
  * @param pathPrefix the beginning of the paths that select it
- * @param kind what may be repeated
- * @param timeoutMs the longest time that a request may be kept waiting, in milliseconds
- * @param objectiveMs the time within which an answer is on time, in milliseconds
- * @param pauseMs the longest pause between events of a stream that is on time, in
+ * @param kind whether requests may be retried and whether answers are streams
+ * @param timeoutMs the longest time that a request may take, in milliseconds
+ * @param objectiveMs the latency objective in milliseconds: for the first event of a
+ * stream, or for the whole answer otherwise
+ * @param interTokenTargetMs the latency objective between the events of a stream, in
  * milliseconds; 0 if not stated
- * @param priority the rank of the route; 0 is the most urgent
+ * @param priority the priority of the route; 0 is the most urgent
  * @param services the services that run its requests
  * @param maxAttempts the highest number of endpoints on which one request may run
- * @param stages the stages before the request itself
+ * @param stages the stages that run before the request itself; may be empty
  * @param anonymous whether requests need no API key
- * @param resumable whether a broken stream may go on at another endpoint
+ * @param resumable whether a broken stream may be resumed at another endpoint
  */
 public record Route(String name, String host, String pathPrefix, RouteKind kind, long timeoutMs, long objectiveMs,
-		long pauseMs, int priority, List<WeightedService> services, int maxAttempts, List<StageSpec> stages,
+		long interTokenTargetMs, int priority, List<WeightedService> services, int maxAttempts, List<StageSpec> stages,
 		boolean anonymous, boolean resumable) {
 
-	/** Callers wait at least this long for an event of a stream, in milliseconds. */
+	/** The lower bound of the max wait of a stream, in milliseconds. */
 	private static final long MIN_MAX_WAIT_MS = 2_000;
 
-	/** Callers wait for an event of a stream for the objective times this. */
-	private static final long MAX_WAIT_OBJECTIVES = 4;
+	/** The ratio of the max wait of a stream to its latency objective. */
+	private static final long MAX_WAIT_PER_OBJECTIVE = 4;
 
-	/** Callers wait for an event of a stream for the longest good pause times this. */
-	private static final long MAX_WAIT_PAUSES = 8;
+	/** The ratio of the max wait of a stream to its inter-token target. */
+	private static final long MAX_WAIT_PER_INTER_TOKEN_TARGET = 8;
 
 	/**
 	 * Creates a route.
+	 * @throws IllegalArgumentException if there is no service
 	 */
 	public Route {
 		services = List.copyOf(services);
@@ -47,36 +49,38 @@
 	}
 
 	/**
-	 * Tells whether a request may be sent to another endpoint after it may have run.
-	 * @return {@code true} if it may
+	 * Returns whether a request may be sent to another endpoint after it may have run.
+	 * @return {@code true} if it may be retried
 	 */
 	public boolean isRetryable() {
 		return this.kind.isRetryable(this.resumable);
 	}
 
 	/**
-	 * Returns how long a caller waits for the first event, or for the answer.
+	 * Returns how long a caller is assumed to wait for the first event of a stream, or
+	 * for the answer otherwise.
 	 * @return the time in milliseconds
 	 */
 	public long maxWaitMs() {
 		if (!this.kind.isStreaming()) {
 			return this.timeoutMs;
 		}
-		long longestMs = Math.max(this.objectiveMs * MAX_WAIT_OBJECTIVES, this.pauseMs * MAX_WAIT_PAUSES);
+		long longestMs = Math.max(this.objectiveMs * MAX_WAIT_PER_OBJECTIVE,
+				this.interTokenTargetMs * MAX_WAIT_PER_INTER_TOKEN_TARGET);
 		return Math.min(this.timeoutMs, Math.max(MIN_MAX_WAIT_MS, longestMs));
 	}
 
 	/**
-	 * Chooses the service of one request.
+	 * Chooses the service of one request according to the weights.
 	 * @param draw a number that is evenly distributed over requests
 	 * @return the name of the service
 	 */
 	public String service(int draw) {
 		int total = this.services.stream().mapToInt(WeightedService::weight).sum();
-		int rest = (total > 0) ? Math.floorMod(draw, total) : 0;
+		int remaining = (total > 0) ? Math.floorMod(draw, total) : 0;
 		for (WeightedService candidate : this.services) {
-			rest -= candidate.weight();
-			if (rest < 0) {
+			remaining -= candidate.weight();
+			if (remaining < 0) {
 				return candidate.service();
 			}
 		}
@@ -84,7 +88,8 @@
 	}
 
 	/**
-	 * Returns the stages that no other stage needs: their results go to the request.
+	 * Returns the stages on which no other stage depends. Their results are the inputs of
+	 * the request itself.
 	 * @return the indexes of these stages
 	 */
 	public Set<Integer> finalStages() {
--- a/core/src/main/java/org/fulmargap/catalog/RouteKind.java
+++ b/core/src/main/java/org/fulmargap/catalog/RouteKind.java
@@ -1,7 +1,7 @@
 package org.fulmargap.catalog;
 
 /**
- * What may be repeated of the requests of a route.
+ * Whether the requests of a route may be retried, and whether answers are streams.
  */
 public enum RouteKind {
 
@@ -11,7 +11,7 @@
 	/** The request may run at most once. */
 	NON_IDEMPOTENT(false, false),
 
-	/** The answer is a series of events; the request runs once unless it is resumable. */
+	/** The answer is a stream of events; the request runs once unless it is resumable. */
 	STREAMING(false, true);
 
 	private final boolean retryable;
@@ -24,16 +24,16 @@
 	}
 
 	/**
-	 * Tells whether a request may be sent to another endpoint after it may have run.
-	 * @param resumable whether the route lets streams go on at another endpoint
-	 * @return {@code true} if it may
+	 * Returns whether a request may be sent to another endpoint after it may have run.
+	 * @param resumable whether the route allows streams to be resumed at another endpoint
+	 * @return {@code true} if it may be retried
 	 */
 	public boolean isRetryable(boolean resumable) {
 		return this.retryable || (this.streaming && resumable);
 	}
 
 	/**
-	 * Tells whether answers are series of events.
+	 * Returns whether answers are streams of events.
 	 * @return {@code true} for streams
 	 */
 	public boolean isStreaming() {
--- a/core/src/main/java/org/fulmargap/catalog/ServiceSpec.java
+++ b/core/src/main/java/org/fulmargap/catalog/ServiceSpec.java
@@ -1,14 +1,16 @@
 package org.fulmargap.catalog;
 
 /**
- * A group of endpoints that do the same work.
+ * A service: a group of endpoints that do the same work.
  *
  * @param name the name of the service
- * @param maxConnections the connections that one endpoint takes from all callers
- * @param coldPerSecond the requests a second that an endpoint bears while it is cold; 0
- * if it never is
- * @param engine what an engine can take, or {@code null} if these are no model engines
- * @param stage what a stage endpoint can take, or {@code null} if these do no stage
+ * @param maxConnections the highest number of connections to one endpoint, from all
+ * callers together; 0 if not stated
+ * @param coldPerSecond the rate that an endpoint can handle while it is cold, in requests
+ * per second; 0 for no limit
+ * @param engine the capacity of one endpoint, or {@code null} if they aren't model
+ * engines
+ * @param stage the capacity of one endpoint, or {@code null} if they don't run a stage
  */
 public record ServiceSpec(String name, int maxConnections, double coldPerSecond, EngineCapacity engine,
 		StageCapacity stage) {
--- a/core/src/main/java/org/fulmargap/catalog/StageSpec.java
+++ b/core/src/main/java/org/fulmargap/catalog/StageSpec.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * One stage of a pipeline that must be done before the request itself can run.
+ * One stage of a pipeline, which must be done before the request itself can run.
  *
- * @param service the service whose endpoints do the work
+ * @param service the name of the service that runs the stage
  * @param dependencies the indexes of the stages whose results it needs
  * @param resultBytes the approximate size of the result of one work item in bytes
  */
