--- a/server/src/main/java/org/fulmargap/http/ClaimFilter.java
+++ b/server/src/main/java/org/fulmargap/http/ClaimFilter.java
@@ -60,7 +60,7 @@
 	}
 
 	private static Reply end(ClaimService.Handle handle, Reply reply) {
-		if (reply.runState().leavesKeyFree()) {
+		if (reply.runState().allowsKeyReuse()) {
 			handle.release();
 		}
 		else {
--- a/server/src/main/java/org/fulmargap/pipeline/CapacityWait.java
+++ b/server/src/main/java/org/fulmargap/pipeline/CapacityWait.java
@@ -1,15 +1,16 @@
 package org.fulmargap.pipeline;
 
 /**
- * Lets requests wait until an endpoint may have free capacity again.
+ * Blocks requests until an endpoint may have free capacity again.
  */
 final class CapacityWait {
 
 	/**
-	 * Capacity also changes without a call that ends, for example when an allowance
-	 * grows, so waiting requests look again after this time.
+	 * Capacity can also grow without the end of a call, for example when the concurrency
+	 * limit of an endpoint is raised. Waiting requests therefore check again after this
+	 * time.
 	 */
-	private static final long LOOK_AGAIN_MS = 10;
+	private static final long RECHECK_INTERVAL_MS = 10;
 
 	private long version;
 
@@ -17,15 +18,15 @@
 		return this.version;
 	}
 
-	synchronized void changed() {
+	synchronized void signalChange() {
 		this.version++;
 		notifyAll();
 	}
 
-	synchronized boolean await(long seen, long limitMs) {
-		if (this.version == seen) {
+	synchronized boolean await(long seenVersion, long limitMs) {
+		if (this.version == seenVersion) {
 			try {
-				wait(Math.max(1, Math.min(limitMs, LOOK_AGAIN_MS)));
+				wait(Math.max(1, Math.min(limitMs, RECHECK_INTERVAL_MS)));
 			}
 			catch (InterruptedException ex) {
 				Thread.currentThread().interrupt();
--- a/server/src/main/java/org/fulmargap/pipeline/EndpointMonitor.java
+++ b/server/src/main/java/org/fulmargap/pipeline/EndpointMonitor.java
@@ -15,15 +15,15 @@
 import org.fulmargap.timeline.Timeline;
 
 /**
- * Finds endpoints that are leaving and requests that crash endpoints. Broken connections
- * count as a crash only if the endpoint then refuses connections or returns as a new
+ * Detects endpoints that are leaving and requests that crash endpoints. A lost connection
+ * counts as a crash only if the endpoint then refuses connections or restarts with a new
  * incarnation.
  */
 public final class EndpointMonitor implements EndpointObserver {
 
 	private final CrashQuarantine quarantine;
 
-	private final Consumer<Map<String, List<String>>> spreadStrikes;
+	private final Consumer<Map<String, List<String>>> publishCrashReports;
 
 	private final Timeline timeline;
 
@@ -34,16 +34,16 @@
 	private final Set<String> leaving = ConcurrentHashMap.newKeySet();
 
 	/**
-	 * Creates the watch.
-	 * @param quarantine keeps the strikes
-	 * @param spreadStrikes sends new strikes to all peers
-	 * @param timeline receives new strikes
-	 * @param clock the source of the present time in milliseconds since the epoch
+	 * Creates a monitor.
+	 * @param quarantine stores the crash reports
+	 * @param publishCrashReports sends new crash reports to all peers
+	 * @param timeline records new crash reports and leaving endpoints
+	 * @param clock the source of the current time in milliseconds since the epoch
 	 */
-	public EndpointMonitor(CrashQuarantine quarantine, Consumer<Map<String, List<String>>> spreadStrikes,
+	public EndpointMonitor(CrashQuarantine quarantine, Consumer<Map<String, List<String>>> publishCrashReports,
 			Timeline timeline, LongSupplier clock) {
 		this.quarantine = quarantine;
-		this.spreadStrikes = spreadStrikes;
+		this.publishCrashReports = publishCrashReports;
 		this.timeline = timeline;
 		this.clock = clock;
 	}
@@ -61,35 +61,36 @@
 		if (!incarnation.isEmpty()) {
 			String previous = this.incarnations.put(endpoint, incarnation);
 			if (previous != null && !previous.equals(incarnation)) {
-				confirm(endpoint);
+				confirmCrash(endpoint);
 			}
 		}
 	}
 
 	@Override
 	public void refused(String endpoint) {
-		confirm(endpoint);
+		confirmCrash(endpoint);
 	}
 
 	/**
-	 * Returns the incarnation that an endpoint reported last.
+	 * Returns the incarnation that an endpoint reported most recently.
 	 * @param endpoint the name of the endpoint
-	 * @return the incarnation, or empty
+	 * @return the incarnation, empty if none was reported
 	 */
 	String incarnation(String endpoint) {
 		return this.incarnations.getOrDefault(endpoint, "");
 	}
 
-	private void confirm(String endpoint) {
-		Map<String, List<String>> strikes = this.quarantine.confirmCrash(endpoint, this.clock.getAsLong());
-		if (!strikes.isEmpty()) {
-			this.timeline.record(EventType.CRASH_STRIKE, "", 0, "endpoint", endpoint, "fingerprints", strikes.keySet());
-			this.spreadStrikes.accept(strikes);
+	private void confirmCrash(String endpoint) {
+		Map<String, List<String>> crashReports = this.quarantine.confirmCrash(endpoint, this.clock.getAsLong());
+		if (!crashReports.isEmpty()) {
+			this.timeline.record(EventType.CRASH_STRIKE, "", 0, "endpoint", endpoint, "fingerprints",
+					crashReports.keySet());
+			this.publishCrashReports.accept(crashReports);
 		}
 	}
 
 	/**
-	 * Returns the endpoints that said that they are leaving.
+	 * Returns the endpoints whose last report said that they are leaving.
 	 * @return the names of the endpoints
 	 */
 	public Set<String> leaving() {
@@ -97,7 +98,7 @@
 	}
 
 	/**
-	 * Records a call that failed.
+	 * Records a failed call.
 	 * @param endpoint the name of the endpoint
 	 * @param fingerprint the fingerprint of the request
 	 * @param ex the failure
@@ -115,7 +116,7 @@
 	}
 
 	/**
-	 * Records a call that was answered.
+	 * Records a successful call.
 	 * @param endpoint the name of the endpoint
 	 * @param fingerprint the fingerprint of the request
 	 * @param incarnation the incarnation that the endpoint reported, or empty
@@ -130,7 +131,7 @@
 		return this.quarantine.verdict(fingerprint, this.clock.getAsLong());
 	}
 
-	Set<String> struckEndpoints(String fingerprint) {
+	Set<String> suspectedEndpoints(String fingerprint) {
 		return this.quarantine.suspectedEndpoints(fingerprint, this.clock.getAsLong());
 	}
 
--- a/server/src/main/java/org/fulmargap/pipeline/PipelineExecutor.java
+++ b/server/src/main/java/org/fulmargap/pipeline/PipelineExecutor.java
@@ -17,7 +17,7 @@
  */
 public final class PipelineExecutor {
 
-	private final StageRunner stages;
+	private final StageRunner stageRunner;
 
 	private final Invariants invariants;
 
@@ -25,25 +25,26 @@
 
 	/**
 	 * Creates an executor.
-	 * @param router chooses endpoints
+	 * @param router selects endpoints
 	 * @param client calls endpoints
-	 * @param retries limits the load that retries add
-	 * @param watch learns from answers and failures of endpoints
+	 * @param retryBudget limits the load that retries add
+	 * @param monitor records the successes and failures of calls to endpoints
 	 * @param invariants checks conditions that must always hold
-	 * @param log receives events of stages
-	 * @param clock the source of the present time in milliseconds since the epoch
+	 * @param log records the attempts of stages
+	 * @param clock the source of the current time in milliseconds since the epoch
 	 */
-	public PipelineExecutor(Router router, EndpointClient client, RetryBudget retries, EndpointMonitor watch,
+	public PipelineExecutor(Router router, EndpointClient client, RetryBudget retryBudget, EndpointMonitor monitor,
 			Invariants invariants, StageLog log, LongSupplier clock) {
-		this.stages = new StageRunner(router, client, retries, watch, log, clock);
+		this.stageRunner = new StageRunner(router, client, retryBudget, monitor, log, clock);
 		this.invariants = invariants;
 		this.clock = clock;
 	}
 
 	/**
-	 * Runs a request to its end, which comes soon after the deadline at the latest.
+	 * Runs a request and blocks until it succeeds or fails, which happens shortly after
+	 * its deadline at the latest.
 	 * @param request the request
-	 * @return the answer or the failure
+	 * @return the output or the failure
 	 */
 	public PipelineResult run(PipelineRequest request) {
 		RequestState state = new RequestState(request, this.invariants);
@@ -52,7 +53,7 @@
 		try {
 			List<StageSpec> specs = request.pipeline().stages();
 			for (int index = 0; index < specs.size(); index++) {
-				StageRunner.StageResult result = this.stages.run(request, state, index, text);
+				StageRunner.StageResult result = this.stageRunner.run(request, state, index, text);
 				text = result.output();
 				reports.add(result.report());
 			}
--- a/server/src/main/java/org/fulmargap/pipeline/PipelineRequest.java
+++ b/server/src/main/java/org/fulmargap/pipeline/PipelineRequest.java
@@ -21,12 +21,13 @@
  * @param input the input of the first stage
  * @param priority the priority
  * @param deadline the deadline
- * @param acceptedAtMs when the request arrived, milliseconds since the epoch
- * @param fingerprint identifies account, pipeline and body
+ * @param acceptedAtMs the time at which the request arrived, milliseconds since the epoch
+ * @param fingerprint the SHA-256 digest of account, pipeline and body, in hexadecimal
  * @param idempotencyKey the idempotency key, if the caller sent one
  * @param claim the claim of a non-idempotent request
  * @param sink receives the tokens of the last stage
- * @param ownDomainOnly whether only endpoints of the own failure domain may be used
+ * @param ownDomainOnly whether only endpoints of the entry VM's failure domain may be
+ * used
  */
 public record PipelineRequest(String incarnation, long number, String pipelineName, PipelineSpec pipeline,
 		Configuration configuration, long configVersion, String input, Priority priority, Deadline deadline,
@@ -34,7 +35,7 @@
 		TokenSink sink, boolean ownDomainOnly) {
 
 	/**
-	 * Returns the identity of the request.
+	 * Returns the id of the request.
 	 * @return the incarnation and the number, separated by a slash
 	 */
 	public String requestId() {
--- a/server/src/main/java/org/fulmargap/pipeline/PipelineResult.java
+++ b/server/src/main/java/org/fulmargap/pipeline/PipelineResult.java
@@ -6,15 +6,15 @@
 import org.fulmargap.request.FulmargapException;
 
 /**
- * The end of a request.
+ * The result of a request.
  *
  * @param failure the failure, empty if the request has an answer
  * @param output the output of the last stage, empty text after a failure
- * @param firstTokenMs the time until the first token or, without a stream, until the
- * answer, in milliseconds
+ * @param firstTokenMs the time from arrival to the first token of the last stage or, if
+ * that stage streamed no token, to the end, in milliseconds
  * @param totalMs the time from arrival to the end in milliseconds
- * @param stages the stages that delivered a result
- * @param runState how far the request got
+ * @param stages reports of the stages that completed
+ * @param runState how much of the request may have run
  */
 public record PipelineResult(Optional<FulmargapException> failure, String output, long firstTokenMs, long totalMs,
 		List<StageReport> stages, RunState runState) {
--- a/server/src/main/java/org/fulmargap/pipeline/RequestState.java
+++ b/server/src/main/java/org/fulmargap/pipeline/RequestState.java
@@ -6,7 +6,7 @@
 import org.fulmargap.timeline.Invariants;
 
 /**
- * State of one running request. It accepts one result for each stage.
+ * State of one running request. Accepts at most one result for each stage.
  */
 final class RequestState {
 
@@ -41,11 +41,13 @@
 	}
 
 	/**
-	 * Asks for permission to send the first byte to an endpoint.
-	 * @param nowMs the present time in milliseconds since the epoch
-	 * @return {@code false} if the claim of a non-idempotent request does not allow it
+	 * Marks the claim of a non-idempotent request as dispatched. The first byte of the
+	 * request may be sent to an endpoint only after this method returned {@code true}.
+	 * @param nowMs the current time in milliseconds since the epoch
+	 * @return {@code false} if the request must not be sent because its claim is missing,
+	 * was abandoned or has expired
 	 */
-	boolean mayDispatch(long nowMs) {
+	boolean tryDispatch(long nowMs) {
 		if (this.dispatched || this.request.pipeline().idempotent()) {
 			return true;
 		}
@@ -57,7 +59,7 @@
 		return this.dispatched;
 	}
 
-	void reached(RunState state) {
+	void advanceTo(RunState state) {
 		if (state.compareTo(this.runState) > 0) {
 			this.runState = state;
 		}
@@ -67,14 +69,14 @@
 		return this.runState;
 	}
 
-	void token(long nowMs) {
+	void recordToken(long nowMs) {
 		if (this.firstTokenAtMs == 0) {
 			this.firstTokenAtMs = nowMs;
 		}
 	}
 
-	long firstTokenAtMs(long otherwiseMs) {
-		return (this.firstTokenAtMs != 0) ? this.firstTokenAtMs : otherwiseMs;
+	long firstTokenAtMs(long defaultMs) {
+		return (this.firstTokenAtMs != 0) ? this.firstTokenAtMs : defaultMs;
 	}
 
 }
--- a/server/src/main/java/org/fulmargap/pipeline/RunState.java
+++ b/server/src/main/java/org/fulmargap/pipeline/RunState.java
@@ -1,15 +1,15 @@
 package org.fulmargap.pipeline;
 
 /**
- * How far a request got. The states are ordered.
+ * How much of a request may have run. The states are ordered.
  */
 public enum RunState {
 
-	/** No stage may have reached an endpoint. */
+	/** It is certain that no endpoint ran a stage. */
 	NOT_RUN,
 
 	/**
-	 * Stages that only compute may have run, but no action of a non-idempotent pipeline.
+	 * Stages may have run, but no action of a non-idempotent pipeline.
 	 */
 	COMPUTED,
 
@@ -17,10 +17,10 @@
 	ACTED;
 
 	/**
-	 * Tells whether the idempotency key of the request may be used again.
-	 * @return {@code true} if no action ran
+	 * Returns whether the idempotency key of the request may be used for another run.
+	 * @return {@code true} unless an action may have run
 	 */
-	public boolean leavesKeyFree() {
+	public boolean allowsKeyReuse() {
 		return this != ACTED;
 	}
 
--- a/server/src/main/java/org/fulmargap/pipeline/StageLog.java
+++ b/server/src/main/java/org/fulmargap/pipeline/StageLog.java
@@ -21,8 +21,9 @@
 
 	/**
 	 * Creates the log.
-	 * @param timeline receives an event for each step
-	 * @param metrics counts attempts and measures durations by service
+	 * @param timeline records an event for each dispatch, answer and failure
+	 * @param metrics counts attempts by service and failures by type, and measures
+	 * durations by service
 	 */
 	public StageLog(Timeline timeline, MetricRegistry metrics) {
 		this.timeline = timeline;
--- a/server/src/main/java/org/fulmargap/pipeline/StageRunner.java
+++ b/server/src/main/java/org/fulmargap/pipeline/StageRunner.java
@@ -26,22 +26,23 @@
 import org.fulmargap.routing.Router;
 
 /**
- * Runs one stage: chooses endpoints and repeats attempts where that is safe.
+ * Runs one stage: selects endpoints and retries failed attempts where that is safe.
  */
 final class StageRunner {
 
 	/** Characters per prompt token, a usual average for European languages. */
 	private static final int CHARS_PER_TOKEN = 4;
 
+	/** The first characters of a prompt that identify its prefix for cache affinity. */
 	private static final int PREFIX_CHARS = 256;
 
 	private final Router router;
 
 	private final EndpointClient client;
 
-	private final RetryBudget retries;
+	private final RetryBudget retryBudget;
 
-	private final EndpointMonitor watch;
+	private final EndpointMonitor monitor;
 
 	private final StageLog log;
 
@@ -49,15 +50,15 @@
 
 	private final StageBudgets budgets;
 
-	private final CapacityWait capacity = new CapacityWait();
+	private final CapacityWait capacityWait = new CapacityWait();
 
-	StageRunner(Router router, EndpointClient client, RetryBudget retries, EndpointMonitor watch, StageLog log,
+	StageRunner(Router router, EndpointClient client, RetryBudget retryBudget, EndpointMonitor monitor, StageLog log,
 			LongSupplier clock) {
 		this.router = router;
 		this.client = client;
 		this.budgets = new StageBudgets(router::expectedStageMs);
-		this.retries = retries;
-		this.watch = watch;
+		this.retryBudget = retryBudget;
+		this.monitor = monitor;
 		this.log = log;
 		this.clock = clock;
 	}
@@ -70,13 +71,13 @@
 	 * Result of one stage.
 	 *
 	 * @param output the output
-	 * @param report how the stage was run
+	 * @param report the summary of the stage
 	 */
 	record StageResult(String output, StageReport report) {
 	}
 
 	/**
-	 * The attempts of one request at one stage.
+	 * The attempts to run one stage of one request.
 	 */
 	private final class Run {
 
@@ -96,7 +97,7 @@
 
 		private final Set<String> excluded = new HashSet<>();
 
-		private final StringBuilder streamed = new StringBuilder();
+		private final StringBuilder streamedText = new StringBuilder();
 
 		private int streamedTokens;
 
@@ -113,12 +114,12 @@
 		StageResult run() throws FulmargapException {
 			long startMs = StageRunner.this.clock.getAsLong();
 			Deadline deadline = stageDeadline(startMs);
-			StageRunner.this.retries.recordFirstAttempt(this.stage.service());
+			StageRunner.this.retryBudget.recordFirstAttempt(this.stage.service());
 			for (int attempt = 0;; attempt++) {
 				try (Reservation reservation = reserve(deadline)) {
 					StageAnswer answer = attempt(reservation, attempt, deadline);
 					long durationMs = StageRunner.this.clock.getAsLong() - startMs;
-					String output = this.stage.kind().isStreamed() ? this.streamed.toString() : answer.output();
+					String output = this.stage.kind().isStreamed() ? this.streamedText.toString() : answer.output();
 					return new StageResult(output,
 							new StageReport(this.stage.name(), reservation.endpoint(), attempt + 1, durationMs));
 				}
@@ -126,18 +127,19 @@
 					checkRetry(ex, attempt, deadline);
 				}
 				finally {
-					StageRunner.this.capacity.changed();
+					StageRunner.this.capacityWait.signalChange();
 				}
 			}
 		}
 
 		private Deadline stageDeadline(long nowMs) {
 			long remainingMs = this.request.deadline().remainingMs(nowMs);
-			int stagesLeft = this.request.pipeline().stages().size() - this.index;
-			// The expected times come from past answers and may be too high after an
-			// incident. A stage keeps a part of the time, so that answers correct them.
-			long leastMs = remainingMs / (2L * stagesLeft);
-			return new Deadline(nowMs + Math.max(leastMs, StageRunner.this.budgets.limitMs(this.request.pipeline(),
+			int remainingStages = this.request.pipeline().stages().size() - this.index;
+			// The expected durations are medians of past calls and may be too high
+			// after an incident. A minimum share of the time lets calls complete,
+			// which corrects the medians.
+			long minimumMs = remainingMs / (2L * remainingStages);
+			return new Deadline(nowMs + Math.max(minimumMs, StageRunner.this.budgets.limitMs(this.request.pipeline(),
 					this.index, this.request.deadline(), nowMs)));
 		}
 
@@ -145,43 +147,43 @@
 			while (true) {
 				long nowMs = StageRunner.this.clock.getAsLong();
 				if (deadline.isPassed(nowMs)) {
-					throw unanswered("NO_ENDPOINT", "no endpoint of service " + this.stage.service()
-							+ " had capacity for stage " + this.stage.name() + " in time");
+					throw unfinishedFailure("NO_ENDPOINT", "no endpoint of service " + this.stage.service()
+							+ " had free capacity for stage " + this.stage.name() + " before the deadline");
 				}
-				long seen = StageRunner.this.capacity.version();
-				CrashQuarantine.Verdict verdict = StageRunner.this.watch.verdict(this.request.fingerprint());
+				long seenVersion = StageRunner.this.capacityWait.version();
+				CrashQuarantine.Verdict verdict = StageRunner.this.monitor.verdict(this.request.fingerprint());
 				if (!verdict.mayRun()) {
 					throw new FulmargapException(FailureType.REQUEST_QUARANTINED, "REQUEST_QUARANTINED",
 							"this request crashed several endpoints and is refused for a while");
 				}
 				boolean isolated = verdict == CrashQuarantine.Verdict.ISOLATED;
-				Set<String> struck = isolated ? StageRunner.this.watch.struckEndpoints(this.request.fingerprint())
-						: Set.of();
-				Optional<Reservation> reservation = StageRunner.this.router.select(route(struck, isolated), nowMs);
+				Set<String> suspected = isolated
+						? StageRunner.this.monitor.suspectedEndpoints(this.request.fingerprint()) : Set.of();
+				Optional<Reservation> reservation = StageRunner.this.router.select(route(suspected, isolated), nowMs);
 				if (reservation.isPresent()) {
 					return reservation.get();
 				}
-				if (allExcluded(struck)) {
-					if (this.action || allExcluded(struck, Set.of())) {
-						throw failed("NO_ENDPOINT",
-								"no endpoint of service " + this.stage.service() + " is left to try");
+				if (allExcluded(suspected)) {
+					if (this.action || allExcluded(suspected, Set.of())) {
+						throw attemptsExhausted("NO_ENDPOINT",
+								"no endpoint of service " + this.stage.service() + " is left for another attempt");
 					}
 					this.excluded.clear();
 				}
-				if (!StageRunner.this.capacity.await(seen, deadline.remainingMs(nowMs))) {
-					throw unanswered("SHUTDOWN", "the entry VM stopped before stage " + this.stage.name());
+				if (!StageRunner.this.capacityWait.await(seenVersion, deadline.remainingMs(nowMs))) {
+					throw unfinishedFailure("SHUTDOWN", "the entry VM stopped before stage " + this.stage.name());
 				}
 			}
 		}
 
-		private boolean allExcluded(Set<String> struck) {
-			return !this.excluded.isEmpty() && allExcluded(struck, this.excluded);
+		private boolean allExcluded(Set<String> suspected) {
+			return !this.excluded.isEmpty() && allExcluded(suspected, this.excluded);
 		}
 
-		private boolean allExcluded(Set<String> struck, Set<String> failed) {
+		private boolean allExcluded(Set<String> suspected, Set<String> failed) {
 			for (var entry : this.request.configuration().endpoints().entrySet()) {
 				EndpointSpec spec = entry.getValue();
-				if (spec.service().equals(this.stage.service()) && !struck.contains(entry.getKey())
+				if (spec.service().equals(this.stage.service()) && !suspected.contains(entry.getKey())
 						&& !failed.contains(entry.getKey())) {
 					return false;
 				}
@@ -189,12 +191,12 @@
 			return true;
 		}
 
-		private RouteRequest route(Set<String> struck, boolean isolated) {
+		private RouteRequest route(Set<String> suspected, boolean isolated) {
 			boolean generate = this.stage.kind().isStreamed();
 			String prefix = generate ? this.input.substring(0, Math.min(PREFIX_CHARS, this.input.length())) : "";
 			int tokens = generate ? this.input.length() / CHARS_PER_TOKEN : 0;
 			Set<String> avoided = new HashSet<>(this.excluded);
-			avoided.addAll(struck);
+			avoided.addAll(suspected);
 			return new RouteRequest(this.stage.service(), prefix, tokens, avoided, isolated,
 					this.request.ownDomainOnly());
 		}
@@ -203,11 +205,11 @@
 				throws EndpointException, FulmargapException {
 			long nowMs = StageRunner.this.clock.getAsLong();
 			if (deadline.isPassed(nowMs)) {
-				throw unanswered("DEADLINE_PASSED", "the deadline passed before stage " + this.stage.name());
+				throw unfinishedFailure("DEADLINE_PASSED", "the deadline passed before stage " + this.stage.name());
 			}
-			if (!this.state.mayDispatch(nowMs)) {
+			if (!this.state.tryDispatch(nowMs)) {
 				throw new FulmargapException(FailureType.NOT_RUN, "CLAIM_ABANDONED",
-						"the claim of the idempotency key was given up before dispatch");
+						"the claim of the idempotency key was abandoned or has expired");
 			}
 			AttemptId id = new AttemptId(this.request.incarnation(), this.request.number(), this.index, number);
 			long remainingMs = deadline.remainingMs(nowMs);
@@ -219,7 +221,7 @@
 					!this.action);
 			try {
 				StageAnswer answer = StageRunner.this.client.call(call, sink());
-				return accepted(reservation, id, answer);
+				return acceptAnswer(reservation, id, answer);
 			}
 			catch (EndpointException ex) {
 				long failedAtMs = StageRunner.this.clock.getAsLong();
@@ -227,28 +229,29 @@
 					reservation.failed(ex.failure(), failedAtMs);
 				}
 				if (ex.dispatchState().mayHaveRun()) {
-					this.state.reached(this.action ? RunState.ACTED : RunState.COMPUTED);
+					this.state.advanceTo(this.action ? RunState.ACTED : RunState.COMPUTED);
 				}
 				StageRunner.this.log.failed(this.request, this.stage, id, reservation.endpoint(), ex);
-				String incarnation = StageRunner.this.watch.incarnation(reservation.endpoint());
-				StageRunner.this.watch.failed(reservation.endpoint(), this.request.fingerprint(), ex);
-				// A request that crashed this endpoint must have its strike before it is
-				// repeated, or it could crash a third one.
+				String incarnation = StageRunner.this.monitor.incarnation(reservation.endpoint());
+				StageRunner.this.monitor.failed(reservation.endpoint(), this.request.fingerprint(), ex);
+				// If the request crashed this endpoint, the crash report must be
+				// stored before the retry. Otherwise the request could crash a third
+				// endpoint before it is quarantined.
 				if (ex.failure() == CallFailure.CONNECTION_LOST
 						&& StageRunner.this.client.hasCrashed(reservation.spec().url(), incarnation)) {
-					StageRunner.this.watch.refused(reservation.endpoint());
+					StageRunner.this.monitor.refused(reservation.endpoint());
 				}
 				this.excluded.add(reservation.endpoint());
 				throw ex;
 			}
 		}
 
-		private StageAnswer accepted(Reservation reservation, AttemptId id, StageAnswer answer)
+		private StageAnswer acceptAnswer(Reservation reservation, AttemptId id, StageAnswer answer)
 				throws FulmargapException {
 			long nowMs = StageRunner.this.clock.getAsLong();
-			this.state.reached(this.action ? RunState.ACTED : RunState.COMPUTED);
+			this.state.advanceTo(this.action ? RunState.ACTED : RunState.COMPUTED);
 			reservation.succeeded(answer.durationMs(), answer.cachedTokens(), answer.incarnation(), nowMs);
-			StageRunner.this.watch.answered(reservation.endpoint(), this.request.fingerprint(), answer.incarnation(),
+			StageRunner.this.monitor.answered(reservation.endpoint(), this.request.fingerprint(), answer.incarnation(),
 					answer.leaving());
 			StageRunner.this.log.answered(this.request, this.stage, id, reservation.endpoint(), answer);
 			if (!this.state.accept(id)) {
@@ -260,10 +263,10 @@
 
 		private TokenSink sink() {
 			return (index, text) -> {
-				this.streamed.append(text);
+				this.streamedText.append(text);
 				this.streamedTokens = index + 1;
 				if (this.last) {
-					this.state.token(StageRunner.this.clock.getAsLong());
+					this.state.recordToken(StageRunner.this.clock.getAsLong());
 					this.request.sink().token(index, text);
 				}
 			};
@@ -272,31 +275,33 @@
 		private void checkRetry(EndpointException ex, int attempt, Deadline deadline) throws FulmargapException {
 			long nowMs = StageRunner.this.clock.getAsLong();
 			if (ex.isReceiverGone()) {
-				throw unanswered("CALLER_GONE", "the caller closed the connection");
+				throw unfinishedFailure("CALLER_GONE", "the caller closed the connection");
 			}
 			if (this.action && ex.dispatchState().mayHaveRun()) {
 				throw new FulmargapException(FailureType.OUTCOME_UNKNOWN, ex.failure().name(), "stage "
-						+ this.stage.name() + " was sent and may have run, but no answer came: " + ex.getMessage(), ex);
+						+ this.stage.name() + " was sent and may have run, but no answer arrived: " + ex.getMessage(),
+						ex);
 			}
 			if (deadline.isPassed(nowMs)) {
-				throw unanswered(ex.failure().name(),
+				throw unfinishedFailure(ex.failure().name(),
 						"the deadline passed in stage " + this.stage.name() + ": " + ex.getMessage());
 			}
-			if (!ex.isRepeatable() || !StageRunner.this.retries.tryRetry(this.stage.service(), attempt + 1)) {
-				throw failed(ex.failure().name(),
+			if (!ex.isRepeatable() || !StageRunner.this.retryBudget.tryRetry(this.stage.service(), attempt + 1)) {
+				throw attemptsExhausted(ex.failure().name(),
 						"stage " + this.stage.name() + " failed on its last attempt: " + ex.getMessage());
 			}
 		}
 
-		// The failure of a request that ran out of time.
-		private FulmargapException unanswered(String reason, String message) {
+		// The failure of a request that ended before its stages did, for example at its
+		// deadline.
+		private FulmargapException unfinishedFailure(String reason, String message) {
 			return new FulmargapException(
 					(this.state.runState() == RunState.NOT_RUN) ? FailureType.NOT_RUN : FailureType.DEADLINE_EXCEEDED,
 					reason, message);
 		}
 
-		// The failure of a request that may not be repeated any more.
-		private FulmargapException failed(String reason, String message) {
+		// The failure of a request for which no further attempt is possible.
+		private FulmargapException attemptsExhausted(String reason, String message) {
 			return new FulmargapException(
 					(this.state.runState() == RunState.NOT_RUN) ? FailureType.NOT_RUN : FailureType.STAGE_FAILED,
 					reason, message);
--- a/server/src/main/java/org/fulmargap/pipeline/package-info.java
+++ b/server/src/main/java/org/fulmargap/pipeline/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Execution of the stages of a request.
+ * Execution of the stages of requests.
  */
 package org.fulmargap.pipeline;
