--- a/server/src/main/java/org/fulmargap/endpoint/AttemptCanceller.java
+++ b/server/src/main/java/org/fulmargap/endpoint/AttemptCanceller.java
@@ -11,8 +11,8 @@
 import okhttp3.Response;
 
 /**
- * Tells endpoints that nobody waits for an attempt any more. A lost message is harmless:
- * the endpoint then finishes the attempt in vain.
+ * Cancels attempts at endpoints when their results are no longer needed. A lost message
+ * is harmless: the endpoint then finishes the attempt, and its result is not used.
  */
 final class AttemptCanceller {
 
@@ -32,7 +32,7 @@
 
 			@Override
 			public void onFailure(Call call, IOException ex) {
-				// The endpoint finishes the attempt in vain.
+				// The endpoint finishes the attempt, and its result is not used.
 			}
 
 			@Override
--- a/server/src/main/java/org/fulmargap/endpoint/DispatchTracker.java
+++ b/server/src/main/java/org/fulmargap/endpoint/DispatchTracker.java
@@ -6,7 +6,8 @@
 import okhttp3.EventListener;
 
 /**
- * Follows one call to find out whether its request may have reached the endpoint.
+ * Records the progress of one call, to determine whether its request may have reached the
+ * endpoint.
  */
 final class DispatchTracker extends EventListener {
 
@@ -24,9 +25,9 @@
 	}
 
 	/**
-	 * The request headers are written next, on a connection that is established.
-	 * Everything before this event, such as a refused connection, sends nothing of the
-	 * request.
+	 * Called just before the request headers are written to an established connection. A
+	 * call that fails before this event, for example because the connection is refused,
+	 * has sent nothing of the request.
 	 */
 	@Override
 	public void requestHeadersStart(Call call) {
@@ -37,7 +38,7 @@
 
 	@Override
 	public void responseHeadersStart(Call call) {
-		progress();
+		recordProgress();
 	}
 
 	boolean mayHaveSent() {
@@ -45,15 +46,14 @@
 	}
 
 	/**
-	 * Returns when the request was sent.
-	 * @return milliseconds since the epoch, meaningful only if something may have been
-	 * sent
+	 * Returns the time at which sending of the request began.
+	 * @return milliseconds since the epoch, zero if nothing was sent
 	 */
 	long sentAtMs() {
 		return this.sentAtMs;
 	}
 
-	void progress() {
+	void recordProgress() {
 		this.progressAtMs = this.clock.getAsLong();
 	}
 
--- a/server/src/main/java/org/fulmargap/endpoint/EndpointClient.java
+++ b/server/src/main/java/org/fulmargap/endpoint/EndpointClient.java
@@ -29,20 +29,23 @@
 import org.fulmargap.timeline.Timeline;
 
 /**
- * Calls endpoints over HTTP and knows for each failed call whether the endpoint may have
- * run it.
+ * Calls endpoints over HTTP and determines for each failed call whether the endpoint may
+ * have run it.
  */
 public final class EndpointClient implements AutoCloseable {
 
-	/** The longest answer of a stage. */
+	/**
+	 * The maximum length of the answer of a stage: of a JSON answer in bytes, of a
+	 * streamed answer in characters.
+	 */
 	static final int MAX_ANSWER_BYTES = 8 << 20;
 
-	/** Endpoints are at most a few milliseconds away. */
+	/** The network latency to an endpoint is at most a few milliseconds. */
 	private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
 	/**
-	 * The connections of a dying process break one after the other, so a single probe can
-	 * come before its listener is closed.
+	 * A dying process closes its sockets one after the other, so a single probe can
+	 * arrive before the listening socket is closed.
 	 */
 	private static final int CRASH_PROBES = 2;
 
@@ -59,13 +62,16 @@
 	private final OkHttpClient client;
 
 	/**
-	 * Opens a connection for each call. A call that must not be repeated then never meets
-	 * a pooled connection that the endpoint has just closed, whose failure would leave
-	 * the outcome unknown.
+	 * Opens a new connection for each call that must not be retried. The endpoint may
+	 * close a pooled connection just before its use, and the failed call would leave the
+	 * outcome unknown.
 	 */
-	private final OkHttpClient freshClient;
+	private final OkHttpClient unpooledClient;
 
-	/** Carries everything but stage calls, so that their answers cannot be mixed up. */
+	/**
+	 * Sends all requests except stage calls. It has its own connections, so that the
+	 * responses cannot be mixed up with answers to stage calls.
+	 */
 	private final OkHttpClient controlClient;
 
 	private final EndpointProbe probe;
@@ -76,10 +82,10 @@
 
 	/**
 	 * Creates a client.
-	 * @param clock the source of the present time in milliseconds since the epoch
-	 * @param timeline receives notable events
-	 * @param metrics counts them
-	 * @param maxInFlight the highest number of calls at the same time
+	 * @param clock the source of the current time in milliseconds since the epoch
+	 * @param timeline records probes and answers that belong to other attempts
+	 * @param metrics counts probes and answers that belong to other attempts
+	 * @param maxInFlight the maximum number of concurrent calls
 	 */
 	public EndpointClient(LongSupplier clock, Timeline timeline, MetricRegistry metrics, int maxInFlight) {
 		this.clock = clock;
@@ -97,10 +103,10 @@
 			.connectTimeout(CONNECT_TIMEOUT)
 			.readTimeout(Duration.ZERO)
 			.writeTimeout(Duration.ZERO)
-			.eventListenerFactory(EndpointClient::listenerOf)
+			.eventListenerFactory(EndpointClient::eventListener)
 			.addNetworkInterceptor(new SingleSendInterceptor())
 			.build();
-		this.freshClient = this.client.newBuilder()
+		this.unpooledClient = this.client.newBuilder()
 			.connectionPool(new ConnectionPool(0, 1, TimeUnit.MILLISECONDS))
 			.build();
 		this.controlClient = this.client.newBuilder()
@@ -115,14 +121,14 @@
 		this.canceller = new AttemptCanceller(this.controlClient);
 	}
 
-	private static okhttp3.EventListener listenerOf(Call call) {
+	private static okhttp3.EventListener eventListener(Call call) {
 		DispatchTracker tracker = call.request().tag(DispatchTracker.class);
 		return (tracker != null) ? tracker : okhttp3.EventListener.NONE;
 	}
 
 	/**
-	 * Runs one attempt and waits for the complete answer, until the deadline of the call
-	 * at the latest.
+	 * Runs one attempt and blocks until the complete answer has arrived, or until the
+	 * deadline of the call at the latest.
 	 * @param stageCall the attempt
 	 * @param sink receives the tokens of a stream as they arrive
 	 * @return the answer
@@ -135,17 +141,17 @@
 			throw new EndpointException(CallFailure.CONNECT_FAILED, "no time remains for the call", null);
 		}
 		DispatchTracker tracker = new DispatchTracker(this.clock);
-		OkHttpClient http = stageCall.repeatable() ? this.client : this.freshClient;
+		OkHttpClient http = stageCall.retryable() ? this.client : this.unpooledClient;
 		Call call = http.newCall(request(stageCall, tracker, remainingMs));
 		call.timeout().timeout(remainingMs, TimeUnit.MILLISECONDS);
-		try (ProgressWatch watch = new ProgressWatch(stageCall, call, tracker, this.probe, this.scheduler, this.clock,
-				this::probed, this.client.connectionPool()::evictAll)) {
-			watch.start();
+		try (ProgressWatchdog watchdog = new ProgressWatchdog(stageCall, call, tracker, this.probe, this.scheduler,
+				this.clock, this::recordProbe, this.client.connectionPool()::evictAll)) {
+			watchdog.start();
 			try {
 				return execute(stageCall, sink, tracker, call, startMs);
 			}
 			catch (IOException ex) {
-				throw failure(stageCall, tracker, watch, ex);
+				throw failure(stageCall, tracker, watchdog, ex);
 			}
 		}
 		catch (EndpointException ex) {
@@ -161,13 +167,13 @@
 		boolean complete = false;
 		Response response = call.execute();
 		try {
-			tracker.progress();
+			tracker.recordProgress();
 			StageAnswer answer = read(stageCall, sink, tracker, response, startMs);
 			complete = true;
 			return answer;
 		}
 		finally {
-			// Closing the response alone could return the connection to the pool, and a
+			// Closing the response alone could return the connection to the pool, where a
 			// wrong answer may be followed by more of them.
 			if (!complete) {
 				call.cancel();
@@ -176,28 +182,28 @@
 		}
 	}
 
-	private EndpointException failure(StageCall stageCall, DispatchTracker tracker, ProgressWatch watch,
+	private EndpointException failure(StageCall stageCall, DispatchTracker tracker, ProgressWatchdog watchdog,
 			IOException cause) {
 		if (!tracker.mayHaveSent()) {
-			return new EndpointException(CallFailure.CONNECT_FAILED, text(cause), cause);
+			return new EndpointException(CallFailure.CONNECT_FAILED, messageOf(cause), cause);
 		}
-		if (cause instanceof TokenStream.ReceiverGoneException) {
-			return new EndpointException(CallFailure.INCOMPLETE_ANSWER, text(cause), cause, true, false);
+		if (cause instanceof TokenStream.SinkFailedException) {
+			return new EndpointException(CallFailure.INCOMPLETE_ANSWER, messageOf(cause), cause, true, false);
 		}
 		if (cause instanceof TokenStream.IncompleteStreamException) {
-			return new EndpointException(CallFailure.INCOMPLETE_ANSWER, text(cause), cause);
+			return new EndpointException(CallFailure.INCOMPLETE_ANSWER, messageOf(cause), cause);
 		}
-		if (watch.verdict() != null) {
-			return new EndpointException(watch.verdict(), "no progress for " + stageCall.progressLimitMs() + " ms",
-					cause);
+		if (watchdog.cancelReason() != null) {
+			return new EndpointException(watchdog.cancelReason(),
+					"no progress for " + stageCall.progressLimitMs() + " ms", cause);
 		}
 		if (cause instanceof InterruptedIOException || stageCall.deadline().isPassed(this.clock.getAsLong())) {
-			return new EndpointException(CallFailure.TIMED_OUT, text(cause), cause);
+			return new EndpointException(CallFailure.TIMED_OUT, messageOf(cause), cause);
 		}
-		return new EndpointException(CallFailure.CONNECTION_LOST, text(cause), cause);
+		return new EndpointException(CallFailure.CONNECTION_LOST, messageOf(cause), cause);
 	}
 
-	private static String text(IOException cause) {
+	private static String messageOf(IOException cause) {
 		return (cause.getMessage() != null) ? cause.getMessage() : cause.getClass().getSimpleName();
 	}
 
@@ -224,8 +230,8 @@
 	private StageAnswer read(StageCall stageCall, TokenSink sink, DispatchTracker tracker, Response response,
 			long startMs) throws EndpointException, IOException {
 		String echoed = response.header(EndpointHeaders.ATTEMPT);
-		boolean own = stageCall.attempt().toString().equals(echoed);
-		if (!own && (echoed != null || response.isSuccessful())) {
+		boolean attemptMatches = stageCall.attempt().toString().equals(echoed);
+		if (!attemptMatches && (echoed != null || response.isSuccessful())) {
 			this.metrics.counter("crossed_answers").inc();
 			this.timeline.record(EventType.CROSSED_ANSWER, stageCall.attempt().requestId(), 0, "endpoint",
 					stageCall.endpoint(), "attempt", stageCall.attempt(), "echoed", echoed);
@@ -233,16 +239,17 @@
 		}
 		boolean leaving = Boolean.parseBoolean(response.header(EndpointHeaders.LEAVING));
 		if (!response.isSuccessful()) {
-			throw refusal(response, own, leaving);
+			throw errorResponse(response, attemptMatches, leaving);
 		}
 		String incarnation = response.header(EndpointHeaders.INCARNATION, "");
 		if (stageCall.kind().isStreamed()) {
-			TokenStream stream = new TokenStream(response.body().source(), stageCall.startIndex(), tracker::progress);
+			TokenStream stream = new TokenStream(response.body().source(), stageCall.startIndex(),
+					tracker::recordProgress);
 			stream.readAll(sink);
 			return new StageAnswer(stream.text(), stream.nextIndex(), stream.cachedTokens(), incarnation, leaving,
 					this.clock.getAsLong() - startMs);
 		}
-		JsonNode answer = parse(response.body().source());
+		JsonNode answer = parseJson(response.body().source());
 		if (!answer.path("output").isTextual()) {
 			throw new EndpointException(CallFailure.INCOMPLETE_ANSWER, "the answer has no output", null);
 		}
@@ -250,19 +257,19 @@
 				answer.path("cached_tokens").asInt(0), incarnation, leaving, this.clock.getAsLong() - startMs);
 	}
 
-	private static EndpointException refusal(Response response, boolean own, boolean leaving) {
+	private static EndpointException errorResponse(Response response, boolean attemptMatches, boolean leaving) {
 		int status = response.code();
-		boolean marked = own && (status == 503 || status == 429)
+		boolean markedNotRun = attemptMatches && (status == 503 || status == 429)
 				&& Boolean.parseBoolean(response.header(EndpointHeaders.NOT_RUN));
 		String message = "the endpoint answered with status " + status;
-		if (marked) {
+		if (markedNotRun) {
 			return new EndpointException(leaving ? CallFailure.LEAVING : CallFailure.REJECTED, message, null);
 		}
-		boolean repeatable = status >= 500 || status == 429 || status == 408;
-		return new EndpointException(CallFailure.ERROR_STATUS, message, null, false, repeatable);
+		boolean retryable = status >= 500 || status == 429 || status == 408;
+		return new EndpointException(CallFailure.ERROR_STATUS, message, null, false, retryable);
 	}
 
-	private static JsonNode parse(BufferedSource source) throws EndpointException, IOException {
+	private static JsonNode parseJson(BufferedSource source) throws EndpointException, IOException {
 		if (source.request(MAX_ANSWER_BYTES + 1L)) {
 			throw new EndpointException(CallFailure.INCOMPLETE_ANSWER,
 					"the answer is longer than " + MAX_ANSWER_BYTES + " bytes", null);
@@ -276,25 +283,27 @@
 		}
 	}
 
-	private void probed(StageCall stageCall, boolean answered, boolean gone) {
+	private void recordProbe(StageCall stageCall, boolean answered, boolean attemptAbsent) {
 		this.metrics.counter("probes").inc();
 		this.timeline.record(EventType.PROBED, stageCall.attempt().requestId(), 0, "endpoint", stageCall.endpoint(),
-				"attempt", stageCall.attempt(), "answered", answered, "attempt_gone", gone);
+				"attempt", stageCall.attempt(), "answered", answered, "attempt_gone", attemptAbsent);
 	}
 
 	/**
-	 * Finds out whether an endpoint whose connection broke has crashed. Waits for one or
-	 * two answers of at most some 300 ms each.
+	 * Probes an endpoint after a lost connection to find out whether it has crashed.
+	 * Blocks for up to two probes of at most about 300 ms each and a pause of 30 ms after
+	 * each.
 	 * @param url the base URL of the endpoint
-	 * @param previousIncarnation the incarnation that the endpoint had before
-	 * @return whether the endpoint refuses connections or is another incarnation
+	 * @param previousIncarnation the incarnation that the endpoint reported before, or
+	 * empty
+	 * @return whether the endpoint refuses connections or reports a different incarnation
 	 */
 	public boolean hasCrashed(String url, String previousIncarnation) {
 		for (int i = 0; i < CRASH_PROBES; i++) {
-			EndpointProbe.Finding finding = this.probe.probe(url).join();
-			boolean restarted = finding.answered() && !previousIncarnation.isEmpty()
-					&& !previousIncarnation.equals(finding.load().incarnation());
-			if (finding.refused() || restarted) {
+			EndpointProbe.Result result = this.probe.probe(url).join();
+			boolean restarted = result.answered() && !previousIncarnation.isEmpty()
+					&& !previousIncarnation.equals(result.load().incarnation());
+			if (result.refused() || restarted) {
 				return true;
 			}
 			LockSupport.parkNanos(CRASH_PROBE_PAUSE_NANOS);
@@ -302,7 +311,7 @@
 		return false;
 	}
 
-	OkHttpClient http() {
+	OkHttpClient controlClient() {
 		return this.controlClient;
 	}
 
--- a/server/src/main/java/org/fulmargap/endpoint/EndpointException.java
+++ b/server/src/main/java/org/fulmargap/endpoint/EndpointException.java
@@ -7,7 +7,7 @@
 import org.fulmargap.routing.CallFailure;
 
 /**
- * Reports a call to an endpoint that delivered no complete answer.
+ * Thrown when a call to an endpoint delivered no complete answer.
  */
 public class EndpointException extends Exception {
 
@@ -15,25 +15,25 @@
 
 	private final CallFailure failure;
 
-	private final boolean receiverGone;
+	private final boolean sinkFailure;
 
-	private final boolean repeatable;
+	private final boolean retryable;
 
 	/**
-	 * Creates the failure.
+	 * Creates an exception for a failure after which another attempt may succeed.
 	 * @param failure how the call failed
-	 * @param message a text for people
+	 * @param message a human-readable description
 	 * @param cause the cause, or {@code null}
 	 */
 	public EndpointException(CallFailure failure, String message, Throwable cause) {
 		this(failure, message, cause, false, true);
 	}
 
-	EndpointException(CallFailure failure, String message, Throwable cause, boolean receiverGone, boolean repeatable) {
+	EndpointException(CallFailure failure, String message, Throwable cause, boolean sinkFailure, boolean retryable) {
 		super(message, cause);
 		this.failure = Objects.requireNonNull(failure, "failure");
-		this.receiverGone = receiverGone;
-		this.repeatable = repeatable;
+		this.sinkFailure = sinkFailure;
+		this.retryable = retryable;
 	}
 
 	/**
@@ -45,8 +45,8 @@
 	}
 
 	/**
-	 * Returns what is known about the dispatch.
-	 * @return {@link DispatchState#NOT_SENT} only if the endpoint provably did not start
+	 * Returns whether the endpoint may have started the attempt.
+	 * @return {@link DispatchState#NOT_SENT} only if the endpoint certainly did not start
 	 * the attempt
 	 */
 	public DispatchState dispatchState() {
@@ -54,28 +54,29 @@
 	}
 
 	/**
-	 * Tells whether the endpoint refused the connection, as a host does whose endpoint
-	 * process is gone.
-	 * @return {@code true} unless the connection timed out or was established
+	 * Returns whether the endpoint refused the connection, as a host does when its
+	 * endpoint process is not running.
+	 * @return {@code true} if the cause is a {@link ConnectException}
 	 */
 	public boolean isRefusedConnection() {
 		return getCause() instanceof ConnectException;
 	}
 
 	/**
-	 * Tells whether the call ended because nobody receives its tokens any more.
-	 * @return {@code true} if the token sink failed
+	 * Returns whether the call ended because its tokens could not be delivered.
+	 * @return {@code true} if the {@link TokenSink} threw an exception
 	 */
-	public boolean isReceiverGone() {
-		return this.receiverGone;
+	public boolean isSinkFailure() {
+		return this.sinkFailure;
 	}
 
 	/**
-	 * Tells whether another attempt may have another result.
-	 * @return {@code false} if the endpoint answered that the request itself is wrong
+	 * Returns whether another attempt may succeed.
+	 * @return {@code false} if the endpoint answered with a status that rejects the
+	 * request itself
 	 */
-	public boolean isRepeatable() {
-		return this.repeatable;
+	public boolean isRetryable() {
+		return this.retryable;
 	}
 
 }
--- a/server/src/main/java/org/fulmargap/endpoint/EndpointHeaders.java
+++ b/server/src/main/java/org/fulmargap/endpoint/EndpointHeaders.java
@@ -1,7 +1,7 @@
 package org.fulmargap.endpoint;
 
 /**
- * Names of the headers between entry VMs and endpoints.
+ * Names of the HTTP headers that entry VMs and endpoints exchange.
  */
 final class EndpointHeaders {
 
--- a/server/src/main/java/org/fulmargap/endpoint/EndpointObserver.java
+++ b/server/src/main/java/org/fulmargap/endpoint/EndpointObserver.java
@@ -1,22 +1,22 @@
 package org.fulmargap.endpoint;
 
 /**
- * Learns what endpoints say about themselves.
+ * Receives the status that endpoints report.
  */
 public interface EndpointObserver {
 
 	/**
-	 * An endpoint answered.
+	 * Called when an endpoint reported its status, or answered that it is leaving.
 	 * @param endpoint the name of the endpoint
-	 * @param incarnation the incarnation that it reported, or empty
-	 * @param leaving whether it reported that it is leaving
+	 * @param incarnation the incarnation that the endpoint reported, or empty
+	 * @param leaving whether the endpoint reported that it is leaving
 	 */
-	void seen(String endpoint, String incarnation, boolean leaving);
+	void statusReported(String endpoint, String incarnation, boolean leaving);
 
 	/**
-	 * An endpoint refused a connection.
+	 * Called when an endpoint refused a connection.
 	 * @param endpoint the name of the endpoint
 	 */
-	void refused(String endpoint);
+	void connectionRefused(String endpoint);
 
 }
--- a/server/src/main/java/org/fulmargap/endpoint/EndpointProbe.java
+++ b/server/src/main/java/org/fulmargap/endpoint/EndpointProbe.java
@@ -17,56 +17,62 @@
 import org.fulmargap.routing.LoadReport;
 
 /**
- * Asks an endpoint on a new connection whether it lives and which attempts it runs. Calls
- * that wait for the same endpoint share one probe.
+ * Checks on a new connection whether an endpoint is alive and which attempts it runs.
+ * Concurrent probes of the same endpoint are combined into one.
  */
 final class EndpointProbe {
 
-	/** Time for one answer; endpoints answer these requests without queueing. */
-	static final long ANSWER_LIMIT_MS = 150;
+	/**
+	 * Timeout in milliseconds of each of the two requests of a probe. Endpoints answer
+	 * them without queueing.
+	 */
+	static final long REQUEST_TIMEOUT_MS = 150;
 
-	/** Stands for the answer of an endpoint that refused the connection. */
+	/**
+	 * Replaces the response body when the endpoint refused the connection. An empty text
+	 * stands for any other failure.
+	 */
 	private static final String REFUSED = "refused";
 
 	private final OkHttpClient client;
 
-	private final Map<String, CompletableFuture<Finding>> running = new ConcurrentHashMap<>();
+	private final Map<String, CompletableFuture<Result>> running = new ConcurrentHashMap<>();
 
 	EndpointProbe(OkHttpClient base) {
 		this.client = base.newBuilder()
 			.connectionPool(new ConnectionPool(0, 1, TimeUnit.MILLISECONDS))
-			.callTimeout(ANSWER_LIMIT_MS, TimeUnit.MILLISECONDS)
+			.callTimeout(REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS)
 			.build();
 	}
 
 	/**
-	 * Starts a probe, or joins the one that runs.
+	 * Starts a probe, or returns the one that is running.
 	 * @param url the base URL of the endpoint
-	 * @return a future with the finding, never completed exceptionally
+	 * @return a future with the result, never completed exceptionally
 	 */
-	CompletableFuture<Finding> probe(String url) {
-		CompletableFuture<Finding> own = new CompletableFuture<>();
-		CompletableFuture<Finding> present = this.running.putIfAbsent(url, own);
-		if (present != null) {
-			return present;
+	CompletableFuture<Result> probe(String url) {
+		CompletableFuture<Result> created = new CompletableFuture<>();
+		CompletableFuture<Result> existing = this.running.putIfAbsent(url, created);
+		if (existing != null) {
+			return existing;
 		}
-		own.whenComplete((finding, ex) -> this.running.remove(url, own));
+		created.whenComplete((result, ex) -> this.running.remove(url, created));
 		get(url + "/health")
 			.thenCompose((health) -> (health.isEmpty() || health.equals(REFUSED))
 					? CompletableFuture.completedFuture(health) : get(url + "/v1/load"))
-			.thenAccept((body) -> own.complete(finding(body)));
-		return own;
+			.thenAccept((body) -> created.complete(toResult(body)));
+		return created;
 	}
 
-	private static Finding finding(String body) {
+	private static Result toResult(String body) {
 		if (body.isEmpty() || body.equals(REFUSED)) {
-			return new Finding(null, body.equals(REFUSED));
+			return new Result(null, body.equals(REFUSED));
 		}
 		try {
-			return new Finding(Json.mapper().readValue(body, LoadReport.class), false);
+			return new Result(Json.mapper().readValue(body, LoadReport.class), false);
 		}
 		catch (IOException ex) {
-			return new Finding(null, false);
+			return new Result(null, false);
 		}
 	}
 
@@ -95,25 +101,27 @@
 	}
 
 	/**
-	 * What a probe found.
+	 * Result of a probe.
 	 *
 	 * @param load the load report, or {@code null} if the endpoint did not answer
 	 * @param refused whether the endpoint refused the connection
 	 */
-	record Finding(LoadReport load, boolean refused) {
+	record Result(LoadReport load, boolean refused) {
 
 		boolean answered() {
 			return this.load != null;
 		}
 
 		/**
-		 * Tells whether the endpoint neither runs nor queues an attempt. Load reports
-		 * lag, so one that was taken before the attempt was sent says nothing about it.
+		 * Returns whether the endpoint is known neither to run nor to queue an attempt.
+		 * Load reports may be old, so one that was made before the attempt was sent does
+		 * not count.
 		 * @param attempt the attempt
-		 * @param sentAtMs when the attempt was sent
-		 * @return {@code true} if a current report does not list the attempt
+		 * @param sentAtMs the time at which the attempt was sent, milliseconds since the
+		 * epoch
+		 * @return {@code true} if a report made since then does not list the attempt
 		 */
-		boolean rulesOut(String attempt, long sentAtMs) {
+		boolean isKnownAbsent(String attempt, long sentAtMs) {
 			return this.load != null && this.load.reportedAtMs() >= sentAtMs && !this.load.attempts().contains(attempt);
 		}
 
--- a/server/src/main/java/org/fulmargap/endpoint/LoadPoller.java
+++ b/server/src/main/java/org/fulmargap/endpoint/LoadPoller.java
@@ -26,16 +26,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads the load reports of all endpoints twice a second, at jittered times so that the
- * entry VMs do not ask in step.
+ * Polls the load reports of all endpoints twice a second. Jitter keeps the entry VMs from
+ * polling at the same times.
  */
 public final class LoadPoller implements AutoCloseable {
 
 	private static final Logger LOG = LoggerFactory.getLogger(LoadPoller.class);
 
-	private static final long INTERVAL_MS = 500;
+	private static final long POLL_INTERVAL_MS = 500;
 
-	private static final long TICK_MS = 50;
+	private static final long CHECK_INTERVAL_MS = 50;
 
 	private final Supplier<Map<String, EndpointSpec>> endpoints;
 
@@ -47,9 +47,9 @@
 
 	private final LongSupplier clock;
 
-	private final Map<String, Long> nextAtMs = new ConcurrentHashMap<>();
+	private final Map<String, Long> nextPollAtMs = new ConcurrentHashMap<>();
 
-	private final Set<String> running = ConcurrentHashMap.newKeySet();
+	private final Set<String> inFlight = ConcurrentHashMap.newKeySet();
 
 	private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor((task) -> {
 		Thread thread = new Thread(task, "load-poller");
@@ -60,10 +60,10 @@
 	/**
 	 * Creates a poller.
 	 * @param endpoints the endpoints of the configuration in force, by name
-	 * @param router receives the reports
-	 * @param observer learns about restarts and endpoints that are leaving
+	 * @param router uses the reports for the selection of endpoints
+	 * @param observer receives the reported status of endpoints and refused connections
 	 * @param client the client whose connections are used
-	 * @param clock the source of the present time in milliseconds since the epoch
+	 * @param clock the source of the current time in milliseconds since the epoch
 	 */
 	public LoadPoller(Supplier<Map<String, EndpointSpec>> endpoints, Router router, EndpointObserver observer,
 			EndpointClient client, LongSupplier clock) {
@@ -71,14 +71,15 @@
 		this.router = router;
 		this.observer = observer;
 		this.clock = clock;
-		this.client = client.http().newBuilder().callTimeout(Duration.ofMillis(INTERVAL_MS)).build();
+		this.client = client.controlClient().newBuilder().callTimeout(Duration.ofMillis(POLL_INTERVAL_MS)).build();
 	}
 
 	/**
 	 * Starts polling.
 	 */
 	public void start() {
-		this.scheduler.scheduleWithFixedDelay(this::pollSafely, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+		this.scheduler.scheduleWithFixedDelay(this::pollSafely, CHECK_INTERVAL_MS, CHECK_INTERVAL_MS,
+				TimeUnit.MILLISECONDS);
 	}
 
 	private void pollSafely() {
@@ -86,19 +87,19 @@
 			poll();
 		}
 		catch (RuntimeException ex) {
-			// An exception would end the schedule.
-			LOG.error("reading of load reports failed", ex);
+			// An uncaught exception would cancel the periodic task.
+			LOG.error("polling of load reports failed", ex);
 		}
 	}
 
 	private void poll() {
 		long nowMs = this.clock.getAsLong();
-		Map<String, EndpointSpec> present = this.endpoints.get();
-		this.nextAtMs.keySet().retainAll(present.keySet());
-		present.forEach((name, spec) -> {
-			if (this.nextAtMs.getOrDefault(name, 0L) <= nowMs && this.running.add(name)) {
-				long jitterMs = ThreadLocalRandom.current().nextLong(-INTERVAL_MS / 5, INTERVAL_MS / 5 + 1);
-				this.nextAtMs.put(name, nowMs + INTERVAL_MS + jitterMs);
+		Map<String, EndpointSpec> current = this.endpoints.get();
+		this.nextPollAtMs.keySet().retainAll(current.keySet());
+		current.forEach((name, spec) -> {
+			if (this.nextPollAtMs.getOrDefault(name, 0L) <= nowMs && this.inFlight.add(name)) {
+				long jitterMs = ThreadLocalRandom.current().nextLong(-POLL_INTERVAL_MS / 5, POLL_INTERVAL_MS / 5 + 1);
+				this.nextPollAtMs.put(name, nowMs + POLL_INTERVAL_MS + jitterMs);
 				read(name, spec.url());
 			}
 		});
@@ -110,9 +111,9 @@
 			@Override
 			public void onFailure(Call call, IOException ex) {
 				if (ex instanceof ConnectException) {
-					LoadPoller.this.observer.refused(name);
+					LoadPoller.this.observer.connectionRefused(name);
 				}
-				LoadPoller.this.running.remove(name);
+				LoadPoller.this.inFlight.remove(name);
 			}
 
 			@Override
@@ -122,15 +123,15 @@
 						LoadReport report = Json.mapper()
 							.readValue(response.peekBody(1 << 20).string(), LoadReport.class);
 						LoadPoller.this.router.observeLoad(name, report, LoadPoller.this.clock.getAsLong());
-						LoadPoller.this.observer.seen(name, report.incarnation(),
+						LoadPoller.this.observer.statusReported(name, report.incarnation(),
 								Boolean.parseBoolean(response.header(EndpointHeaders.LEAVING)));
 					}
 				}
 				catch (IOException ex) {
-					// The next poll reads a newer report.
+					// The next poll will read a newer report.
 				}
 				finally {
-					LoadPoller.this.running.remove(name);
+					LoadPoller.this.inFlight.remove(name);
 				}
 			}
 
--- a/server/src/main/java/org/fulmargap/endpoint/SingleSendInterceptor.java
+++ b/server/src/main/java/org/fulmargap/endpoint/SingleSendInterceptor.java
@@ -6,9 +6,9 @@
 import okhttp3.Response;
 
 /**
- * Makes sure that one call sends its request at most once. OkHttp repeats a request on
- * its own after a 503 with {@code Retry-After: 0}, also with connection retries switched
- * off, so the header is hidden from it.
+ * Ensures that a stage call sends its request at most once. OkHttp retries a request by
+ * itself after a 503 with {@code Retry-After: 0}, even if connection retries are
+ * disabled, so this header is removed from responses.
  */
 final class SingleSendInterceptor implements Interceptor {
 
--- a/server/src/main/java/org/fulmargap/endpoint/StageCall.java
+++ b/server/src/main/java/org/fulmargap/endpoint/StageCall.java
@@ -16,19 +16,20 @@
  * @param kind what the stage does
  * @param attempt the identity of the attempt
  * @param input the input of the stage
- * @param maxTokens the highest number of generated tokens, zero for stages that generate
+ * @param maxTokens the maximum number of generated tokens, zero for stages that generate
  * none
- * @param startIndex the index of the first token wanted, above zero to resume a stream
+ * @param startIndex the index of the first requested token, above zero to resume a stream
  * @param priority the priority of the request
  * @param deadline the time by which the answer must be complete
- * @param idempotencyKey the key to send along with an action
- * @param progressLimitMs the time without progress after which the endpoint is probed
- * @param repeatable whether the stage may run again, so that a dead connection may be
- * given up before the deadline
+ * @param idempotencyKey the key to send with an action, or empty
+ * @param progressLimitMs the time in milliseconds without progress after which the
+ * endpoint is probed
+ * @param retryable whether the stage may be run again, so that the call may be cancelled
+ * before its deadline if the connection is dead
  */
 public record StageCall(String endpoint, String url, StageKind kind, AttemptId attempt, String input, int maxTokens,
 		int startIndex, Priority priority, Deadline deadline, Optional<String> idempotencyKey, long progressLimitMs,
-		boolean repeatable) {
+		boolean retryable) {
 
 	/**
 	 * Checks the components.
--- a/server/src/main/java/org/fulmargap/endpoint/TokenSink.java
+++ b/server/src/main/java/org/fulmargap/endpoint/TokenSink.java
@@ -3,20 +3,20 @@
 import java.io.IOException;
 
 /**
- * Receives the tokens of a stream in the order of their index.
+ * Receives the tokens of a stream in ascending order of their index.
  */
 @FunctionalInterface
 public interface TokenSink {
 
-	/** Drops all tokens. */
+	/** Discards all tokens. */
 	TokenSink NONE = (index, text) -> {
 	};
 
 	/**
-	 * Takes one token.
+	 * Receives one token.
 	 * @param index the index of the token within the whole answer
 	 * @param text the text of the token
-	 * @throws IOException if the receiver is gone; the call is then cancelled
+	 * @throws IOException if the token could not be delivered; the call is then cancelled
 	 */
 	void token(int index, String text) throws IOException;
 
--- a/server/src/main/java/org/fulmargap/endpoint/TokenStream.java
+++ b/server/src/main/java/org/fulmargap/endpoint/TokenStream.java
@@ -7,7 +7,7 @@
 import org.fulmargap.config.Json;
 
 /**
- * Reads the server-sent events of a generation and checks that no token is missing.
+ * Reads the server-sent events of a streamed answer and checks that no token is missing.
  */
 final class TokenStream {
 
@@ -15,7 +15,7 @@
 
 	private final BufferedSource source;
 
-	private final Runnable progress;
+	private final Runnable onProgress;
 
 	private final StringBuilder text = new StringBuilder();
 
@@ -23,38 +23,39 @@
 
 	private int cachedTokens;
 
-	TokenStream(BufferedSource source, int startIndex, Runnable progress) {
+	TokenStream(BufferedSource source, int startIndex, Runnable onProgress) {
 		this.source = source;
 		this.nextIndex = startIndex;
-		this.progress = progress;
+		this.onProgress = onProgress;
 	}
 
 	/**
-	 * Reads up to the end marker.
+	 * Reads the stream up to and including its end marker.
 	 * @param sink receives each token
-	 * @throws IncompleteStreamException if the stream violates its form or ends early
-	 * @throws ReceiverGoneException if the sink fails
+	 * @throws IncompleteStreamException if the stream violates the protocol or ends early
+	 * @throws SinkFailedException if the sink throws an exception
 	 * @throws IOException if the connection fails
 	 */
 	void readAll(TokenSink sink) throws IOException {
 		String event = "";
 		while (true) {
 			if (this.source.exhausted()) {
-				throw new IncompleteStreamException("the stream ended after " + this.nextIndex + " tokens without end");
+				throw new IncompleteStreamException(
+						"the stream ended after " + this.nextIndex + " tokens without an end marker");
 			}
 			String line = this.source.readUtf8LineStrict(MAX_LINE_BYTES);
-			this.progress.run();
+			this.onProgress.run();
 			if (line.startsWith("event:")) {
 				event = line.substring("event:".length()).strip();
 			}
 			else if (line.startsWith("data:")) {
-				JsonNode data = parse(line.substring("data:".length()));
+				JsonNode data = parseJson(line.substring("data:".length()));
 				if (event.equals("done")) {
 					checkCount(data);
 					return;
 				}
 				if (event.equals("token")) {
-					take(data, sink);
+					readToken(data, sink);
 				}
 				else {
 					throw new IncompleteStreamException("unexpected event '" + event + "'");
@@ -63,11 +64,11 @@
 		}
 	}
 
-	private void take(JsonNode data, TokenSink sink) throws IOException {
+	private void readToken(JsonNode data, TokenSink sink) throws IOException {
 		JsonNode index = data.path("index");
 		JsonNode token = data.path("text");
 		if (!index.isInt() || !token.isTextual()) {
-			throw new IncompleteStreamException("token event without index or text");
+			throw new IncompleteStreamException("token event without a valid index or text");
 		}
 		if (index.intValue() != this.nextIndex) {
 			throw new IncompleteStreamException(
@@ -76,13 +77,14 @@
 		this.nextIndex++;
 		this.text.append(token.textValue());
 		if (this.text.length() > EndpointClient.MAX_ANSWER_BYTES) {
-			throw new IncompleteStreamException("answer is longer than " + EndpointClient.MAX_ANSWER_BYTES);
+			throw new IncompleteStreamException(
+					"answer exceeds the maximum number of characters: " + EndpointClient.MAX_ANSWER_BYTES);
 		}
 		try {
 			sink.token(index.intValue(), token.textValue());
 		}
 		catch (IOException ex) {
-			throw new ReceiverGoneException(ex);
+			throw new SinkFailedException(ex);
 		}
 	}
 
@@ -95,7 +97,7 @@
 		this.cachedTokens = data.path("cached_tokens").asInt(0);
 	}
 
-	private static JsonNode parse(String json) throws IncompleteStreamException {
+	private static JsonNode parseJson(String json) throws IncompleteStreamException {
 		try {
 			return Json.mapper().readTree(json);
 		}
@@ -117,7 +119,7 @@
 	}
 
 	/**
-	 * Reports a stream that violates its form.
+	 * Thrown when a stream violates the protocol or ends early.
 	 */
 	static final class IncompleteStreamException extends IOException {
 
@@ -130,14 +132,14 @@
 	}
 
 	/**
-	 * Reports that nobody receives the tokens any more.
+	 * Thrown when the sink could not deliver a token.
 	 */
-	static final class ReceiverGoneException extends IOException {
+	static final class SinkFailedException extends IOException {
 
 		private static final long serialVersionUID = 1L;
 
-		ReceiverGoneException(IOException cause) {
-			super("the receiver of the tokens is gone", cause);
+		SinkFailedException(IOException cause) {
+			super("a token could not be delivered to the caller", cause);
 		}
 
 	}
--- a/server/src/main/java/org/fulmargap/endpoint/package-info.java
+++ b/server/src/main/java/org/fulmargap/endpoint/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Calls to endpoints.
+ * HTTP calls to endpoints and probes of their state.
  */
 package org.fulmargap.endpoint;
--- a/server/src/main/java/org/fulmargap/pipeline/EndpointMonitor.java
+++ b/server/src/main/java/org/fulmargap/pipeline/EndpointMonitor.java
@@ -49,7 +49,7 @@
 	}
 
 	@Override
-	public void seen(String endpoint, String incarnation, boolean isLeaving) {
+	public void statusReported(String endpoint, String incarnation, boolean isLeaving) {
 		if (isLeaving) {
 			if (this.leaving.add(endpoint)) {
 				this.timeline.record(EventType.ENDPOINT_LEAVING, "", 0, "endpoint", endpoint);
@@ -67,7 +67,7 @@
 	}
 
 	@Override
-	public void refused(String endpoint) {
+	public void connectionRefused(String endpoint) {
 		confirmCrash(endpoint);
 	}
 
@@ -108,10 +108,10 @@
 			this.quarantine.connectionLost(endpoint, fingerprint, this.clock.getAsLong());
 		}
 		else if (ex.isRefusedConnection()) {
-			refused(endpoint);
+			connectionRefused(endpoint);
 		}
 		else if (ex.failure() == CallFailure.LEAVING) {
-			seen(endpoint, "", true);
+			statusReported(endpoint, "", true);
 		}
 	}
 
@@ -124,7 +124,7 @@
 	 */
 	void answered(String endpoint, String fingerprint, String incarnation, boolean isLeaving) {
 		this.quarantine.completed(fingerprint);
-		seen(endpoint, incarnation, isLeaving);
+		statusReported(endpoint, incarnation, isLeaving);
 	}
 
 	CrashQuarantine.Verdict verdict(String fingerprint) {
--- a/server/src/main/java/org/fulmargap/pipeline/StageRunner.java
+++ b/server/src/main/java/org/fulmargap/pipeline/StageRunner.java
@@ -225,7 +225,7 @@
 			}
 			catch (EndpointException ex) {
 				long failedAtMs = StageRunner.this.clock.getAsLong();
-				if (!ex.isReceiverGone()) {
+				if (!ex.isSinkFailure()) {
 					reservation.failed(ex.failure(), failedAtMs);
 				}
 				if (ex.dispatchState().mayHaveRun()) {
@@ -239,7 +239,7 @@
 				// endpoint before it is quarantined.
 				if (ex.failure() == CallFailure.CONNECTION_LOST
 						&& StageRunner.this.client.hasCrashed(reservation.spec().url(), incarnation)) {
-					StageRunner.this.monitor.refused(reservation.endpoint());
+					StageRunner.this.monitor.connectionRefused(reservation.endpoint());
 				}
 				this.excluded.add(reservation.endpoint());
 				throw ex;
@@ -274,7 +274,7 @@
 
 		private void checkRetry(EndpointException ex, int attempt, Deadline deadline) throws FulmargapException {
 			long nowMs = StageRunner.this.clock.getAsLong();
-			if (ex.isReceiverGone()) {
+			if (ex.isSinkFailure()) {
 				throw unfinishedFailure("CALLER_GONE", "the caller closed the connection");
 			}
 			if (this.action && ex.dispatchState().mayHaveRun()) {
@@ -286,7 +286,7 @@
 				throw unfinishedFailure(ex.failure().name(),
 						"the deadline passed in stage " + this.stage.name() + ": " + ex.getMessage());
 			}
-			if (!ex.isRepeatable() || !StageRunner.this.retryBudget.tryRetry(this.stage.service(), attempt + 1)) {
+			if (!ex.isRetryable() || !StageRunner.this.retryBudget.tryRetry(this.stage.service(), attempt + 1)) {
 				throw attemptsExhausted(ex.failure().name(),
 						"stage " + this.stage.name() + " failed on its last attempt: " + ex.getMessage());
 			}
--- a/server/src/test/java/org/fulmargap/endpoint/EndpointClientTests.java
+++ b/server/src/test/java/org/fulmargap/endpoint/EndpointClientTests.java
@@ -24,8 +24,9 @@
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
 /**
- * Guards against calls whose failure is reported with the wrong dispatch state, and
- * against answers that are incomplete or belong to another attempt.
+ * Guards against failed calls that are reported with the wrong dispatch state, which
+ * could lead to a second run of an action, and against the use of answers that are
+ * incomplete or belong to another attempt.
  */
 class EndpointClientTests {
 
@@ -42,9 +43,9 @@
 	}
 
 	private static StageCall call(String url, StageKind kind, long deadlineMs, long progressLimitMs,
-			boolean repeatable) {
+			boolean retryable) {
 		return new StageCall("e1", url, kind, ATTEMPT, "input", 8, 0, Priority.NORMAL,
-				Deadline.after(System.currentTimeMillis(), deadlineMs), Optional.of("k1"), progressLimitMs, repeatable);
+				Deadline.after(System.currentTimeMillis(), deadlineMs), Optional.of("k1"), progressLimitMs, retryable);
 	}
 
 	private EndpointException failure(StageCall call) {
@@ -101,7 +102,7 @@
 						socket.getInputStream().readNBytes(200);
 					}
 					catch (IOException ex) {
-						// The connection ends.
+						// The client closed the connection.
 					}
 				});
 				reader.start();
@@ -113,9 +114,9 @@
 		}
 
 		@Test
-		void missingAnswerEndsWithTheDeadlineAndMayHaveBeenSent() throws IOException {
+		void missingAnswerTimesOutAtTheDeadlineAndMayHaveBeenSent() throws IOException {
 			long startMs = System.currentTimeMillis();
-			EndpointException ex = failureOf((request, reply) -> reply.silence());
+			EndpointException ex = failureOf((request, reply) -> reply.hang());
 			assertThat(ex.failure()).isEqualTo(CallFailure.TIMED_OUT);
 			assertThat(System.currentTimeMillis() - startMs).isBetween(390L, 3000L);
 		}
@@ -145,7 +146,7 @@
 		}
 
 		/**
-		 * OkHttp repeats a request on its own after this answer.
+		 * Guards against OkHttp, which retries a request by itself after this answer.
 		 */
 		@Test
 		void refusalWithRetryAfterZeroIsSentOnce() throws IOException {
@@ -163,14 +164,15 @@
 	class Answers {
 
 		@Test
-		void answerOfAnotherAttemptIsDroppedAndItsConnectionClosed() throws Exception {
+		void answerOfAnotherAttemptIsDiscardedAndItsConnectionClosed() throws Exception {
 			List<String> outputs = new ArrayList<>(List.of("foreign", "own"));
 			try (FakeEndpoint endpoint = new FakeEndpoint((request, reply) -> {
 				String output = outputs.remove(0);
 				String attempt = output.equals("own") ? request.attempt() : "vm1-a/6/0/0";
 				reply.json(200, Map.of("Fulmargap-Attempt", attempt), "{\"output\":\"" + output + "\"}");
 				if (output.equals("foreign")) {
-					// A stale answer that the next request on this connection would get.
+					// Simulates a stale answer that the next request on this connection
+					// would receive.
 					reply.output(request, "stale");
 				}
 			})) {
@@ -195,7 +197,7 @@
 	@Nested
 	class Streams {
 
-		private static final String TWO = "event: token\ndata: {\"index\":0,\"text\":\"a\"}\n\n"
+		private static final String TWO_TOKENS = "event: token\ndata: {\"index\":0,\"text\":\"a\"}\n\n"
 				+ "event: token\ndata: {\"index\":1,\"text\":\"b\"}\n\n";
 
 		private CallFailure failureOf(String events) throws IOException {
@@ -208,7 +210,7 @@
 		void completeStreamIsAnswered() throws Exception {
 			List<String> tokens = new ArrayList<>();
 			try (FakeEndpoint endpoint = new FakeEndpoint(
-					(request, reply) -> reply.events(request, TWO + "event: done\ndata: {\"count\":2}\n\n"))) {
+					(request, reply) -> reply.events(request, TWO_TOKENS + "event: done\ndata: {\"count\":2}\n\n"))) {
 				StageAnswer answer = EndpointClientTests.this.client
 					.call(call(endpoint.url(), StageKind.GENERATE, 1000, 300, true), (index, text) -> tokens.add(text));
 				assertThat(answer.output()).isEqualTo("ab");
@@ -218,30 +220,31 @@
 
 		@Test
 		void streamWithoutEndMarkerIsIncomplete() throws IOException {
-			assertThat(failureOf(TWO)).isEqualTo(CallFailure.INCOMPLETE_ANSWER);
+			assertThat(failureOf(TWO_TOKENS)).isEqualTo(CallFailure.INCOMPLETE_ANSWER);
 		}
 
 		@Test
 		void streamWithAMissingTokenIsIncomplete() throws IOException {
-			assertThat(failureOf(TWO.replace("\"index\":1", "\"index\":2") + "event: done\ndata: {\"count\":2}\n\n"))
+			assertThat(failureOf(
+					TWO_TOKENS.replace("\"index\":1", "\"index\":2") + "event: done\ndata: {\"count\":2}\n\n"))
 				.isEqualTo(CallFailure.INCOMPLETE_ANSWER);
 		}
 
 		@Test
-		void streamWithAnotherCountIsIncomplete() throws IOException {
-			assertThat(failureOf(TWO + "event: done\ndata: {\"count\":3}\n\n"))
+		void streamWithAWrongTokenCountIsIncomplete() throws IOException {
+			assertThat(failureOf(TWO_TOKENS + "event: done\ndata: {\"count\":3}\n\n"))
 				.isEqualTo(CallFailure.INCOMPLETE_ANSWER);
 		}
 
 		@Test
-		void attemptIsCancelledAtTheEndpointWhenItsReceiverIsGone() throws Exception {
-			try (FakeEndpoint endpoint = new FakeEndpoint((request, reply) -> reply.events(request, TWO))) {
+		void attemptIsCancelledAtTheEndpointWhenTheTokenSinkFails() throws Exception {
+			try (FakeEndpoint endpoint = new FakeEndpoint((request, reply) -> reply.events(request, TWO_TOKENS))) {
 				EndpointException ex = failure(call(endpoint.url(), StageKind.GENERATE, 1000, 300, true),
 						(index, text) -> {
-							throw new IOException("gone");
+							throw new IOException("caller closed the connection");
 						});
-				assertThat(ex.isReceiverGone()).isTrue();
-				Waiting.until(() -> endpoint.others()
+				assertThat(ex.isSinkFailure()).isTrue();
+				Waiting.until(() -> endpoint.otherRequests()
 					.stream()
 					.anyMatch((request) -> request.line().startsWith("DELETE /v1/attempts/vm1-a/7/0/0 ")));
 			}
@@ -253,8 +256,8 @@
 	class SilentConnections {
 
 		@Test
-		void deadConnectionIsGivenUpLongBeforeTheDeadline() throws IOException {
-			try (FakeEndpoint endpoint = new FakeEndpoint((request, reply) -> reply.silence())) {
+		void callOnADeadConnectionIsCancelledLongBeforeTheDeadline() throws IOException {
+			try (FakeEndpoint endpoint = new FakeEndpoint((request, reply) -> reply.hang())) {
 				long startMs = System.currentTimeMillis();
 				EndpointException ex = failure(call(endpoint.url(), StageKind.ENCODE, 5000, 100, true));
 				assertThat(ex.failure()).isEqualTo(CallFailure.CONNECTION_SILENT);
@@ -263,12 +266,12 @@
 		}
 
 		@Test
-		void slowAttemptThatTheEndpointListsIsWaitedFor() throws Exception {
+		void slowAttemptThatTheEndpointListsIsNotCancelled() throws Exception {
 			try (FakeEndpoint endpoint = new FakeEndpoint((request, reply) -> {
-				Waiting.pass(600);
+				Waiting.sleep(600);
 				reply.output(request, "late");
 			})) {
-				endpoint.list(ATTEMPT.toString());
+				endpoint.listAttempts(ATTEMPT.toString());
 				StageAnswer answer = EndpointClientTests.this.client
 					.call(call(endpoint.url(), StageKind.ENCODE, 5000, 100, true), TokenSink.NONE);
 				assertThat(answer.output()).isEqualTo("late");
@@ -277,8 +280,8 @@
 		}
 
 		@Test
-		void endpointThatAnswersNoProbeIsGivenUp() throws IOException {
-			try (FakeEndpoint endpoint = new FakeEndpoint((request, reply) -> reply.silence())) {
+		void callIsCancelledWhenTheEndpointAnswersNoProbe() throws IOException {
+			try (FakeEndpoint endpoint = new FakeEndpoint((request, reply) -> reply.hang())) {
 				endpoint.stopAnsweringProbes();
 				long startMs = System.currentTimeMillis();
 				EndpointException ex = failure(call(endpoint.url(), StageKind.ENCODE, 5000, 100, true));
@@ -288,8 +291,8 @@
 		}
 
 		@Test
-		void actionOnADeadConnectionIsWaitedForUntilTheDeadline() throws IOException {
-			try (FakeEndpoint endpoint = new FakeEndpoint((request, reply) -> reply.silence())) {
+		void actionOnADeadConnectionIsNotCancelledBeforeTheDeadline() throws IOException {
+			try (FakeEndpoint endpoint = new FakeEndpoint((request, reply) -> reply.hang())) {
 				long startMs = System.currentTimeMillis();
 				EndpointException ex = failure(call(endpoint.url(), StageKind.ACTION, 800, 100, false));
 				assertThat(ex.failure()).isEqualTo(CallFailure.TIMED_OUT);
--- a/server/src/test/java/org/fulmargap/endpoint/FakeEndpoint.java
+++ b/server/src/test/java/org/fulmargap/endpoint/FakeEndpoint.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Endpoint on plain sockets, so that tests decide about each byte and each connection.
+ * Endpoint on plain sockets, which gives tests control over each byte and connection.
  */
 public final class FakeEndpoint implements AutoCloseable {
 
@@ -25,13 +25,13 @@
 
 	private final List<Received> stages = new CopyOnWriteArrayList<>();
 
-	private final List<Received> others = new CopyOnWriteArrayList<>();
+	private final List<Received> otherRequests = new CopyOnWriteArrayList<>();
 
 	private final List<Socket> sockets = new CopyOnWriteArrayList<>();
 
 	private final CountDownLatch closed = new CountDownLatch(1);
 
-	private volatile List<String> listed = List.of();
+	private volatile List<String> listedAttempts = List.of();
 
 	private volatile boolean answersProbes = true;
 
@@ -69,21 +69,21 @@
 					this.handler.handle(request, new Reply(socket, this.closed));
 				}
 				else {
-					this.others.add(request);
+					this.otherRequests.add(request);
 					answerProbe(request, new Reply(socket, this.closed));
 				}
 			}
 		}
 		catch (IOException | InterruptedException ex) {
-			// The connection ends.
+			// The connection was closed.
 		}
 	}
 
 	private void answerProbe(Received request, Reply reply) throws IOException, InterruptedException {
 		if (!this.answersProbes) {
-			reply.silence();
+			reply.hang();
 		}
-		String attempts = String.join(",", this.listed.stream().map((id) -> '"' + id + '"').toList());
+		String attempts = String.join(",", this.listedAttempts.stream().map((id) -> '"' + id + '"').toList());
 		reply.json(200, Map.of(), "{\"incarnation\":\"i1\",\"in_flight\":0,\"queued\":0,\"capacity\":4,"
 				+ "\"reported_at_ms\":" + System.currentTimeMillis() + ",\"attempts\":[" + attempts + "]}");
 	}
@@ -120,12 +120,12 @@
 		return this.stages;
 	}
 
-	List<Received> others() {
-		return this.others;
+	List<Received> otherRequests() {
+		return this.otherRequests;
 	}
 
-	public void list(String... attempts) {
-		this.listed = List.of(attempts);
+	public void listAttempts(String... attempts) {
+		this.listedAttempts = List.of(attempts);
 	}
 
 	void stopAnsweringProbes() {
@@ -142,7 +142,7 @@
 	}
 
 	/**
-	 * Handles a stage request.
+	 * Handles the stage requests that the endpoint receives.
 	 */
 	public interface Handler {
 
@@ -166,7 +166,7 @@
 	}
 
 	/**
-	 * Writes answers.
+	 * Writes the answer to one request.
 	 */
 	public static final class Reply {
 
@@ -204,7 +204,7 @@
 			this.socket.close();
 		}
 
-		public void silence() throws InterruptedException {
+		public void hang() throws InterruptedException {
 			this.closed.await();
 		}
 
--- a/server/src/test/java/org/fulmargap/http/CallerApiTests.java
+++ b/server/src/test/java/org/fulmargap/http/CallerApiTests.java
@@ -166,7 +166,7 @@
 		@Test
 		void lateAnswerAfterTheDeadlineLeavesTheOutcomeUnknown() throws Exception {
 			CallerApiTests.this.handler = (request, reply) -> {
-				Waiting.pass(1200);
+				Waiting.sleep(1200);
 				reply.output(request, "late");
 			};
 			assertThat(TestService.error(book("k1"))).isEqualTo("502 OUTCOME_UNKNOWN TIMED_OUT");
@@ -231,12 +231,12 @@
 					FakeEndpoint third = new FakeEndpoint((request, reply) -> reply.reset());
 					TestService three = new TestService(CallerApiTests.this.endpoint, other, third)) {
 				CallerApiTests.this.handler = (request, reply) -> reply.reset();
-				three.watch.seen("e0", "i1", false);
-				three.watch.seen("e1", "i1", false);
-				three.watch.seen("e2", "i1", false);
+				three.watch.statusReported("e0", "i1", false);
+				three.watch.statusReported("e1", "i1", false);
+				three.watch.statusReported("e2", "i1", false);
 				three.post("look", BODY);
 				for (String name : List.of("e0", "e1", "e2")) {
-					three.watch.seen(name, "i2", false);
+					three.watch.statusReported(name, "i2", false);
 				}
 				assertThat(TestService.error(three.post("look", BODY)))
 					.isEqualTo("422 REQUEST_QUARANTINED REQUEST_QUARANTINED");
@@ -265,8 +265,8 @@
 
 		@Test
 		void lateAnswerIsDroppedAtTheDeadline() throws Exception {
-			CallerApiTests.this.handler = (request, reply) -> reply.silence();
-			CallerApiTests.this.endpoint.list("vm1-a/1/0/0", "vm1-a/1/0/1", "vm1-a/1/0/2");
+			CallerApiTests.this.handler = (request, reply) -> reply.hang();
+			CallerApiTests.this.endpoint.listAttempts("vm1-a/1/0/0", "vm1-a/1/0/1", "vm1-a/1/0/2");
 			long startMs = System.currentTimeMillis();
 			HttpResponse<String> response = CallerApiTests.this.service.post("look", BODY, "Fulmargap-Deadline-Ms",
 					"500");
@@ -297,7 +297,7 @@
 						+ "Authorization: Bearer secret\r\nContent-Length: " + BODY.length() + "\r\n\r\n";
 				socket.getOutputStream().write((head + BODY.substring(0, 5)).getBytes(StandardCharsets.US_ASCII));
 				socket.getOutputStream().flush();
-				Waiting.pass(200);
+				Waiting.sleep(200);
 				socket.getOutputStream().write(BODY.substring(5).getBytes(StandardCharsets.US_ASCII));
 				socket.getOutputStream().flush();
 				byte[] status = socket.getInputStream().readNBytes("HTTP/1.1 200".length());
--- a/server/src/test/java/org/fulmargap/server/EntryVmTests.java
+++ b/server/src/test/java/org/fulmargap/server/EntryVmTests.java
@@ -182,7 +182,7 @@
 			CompletableFuture<Void> drained = CompletableFuture.runAsync(EntryVmTests.this.vm::drain);
 			Waiting.until(() -> readyStatus() == 503);
 			CompletableFuture<HttpResponse<String>> duringNotice = look();
-			Waiting.pass(400);
+			Waiting.sleep(400);
 			HttpResponse<String> afterNotice = look().join();
 			assertThat(afterNotice.statusCode()).isEqualTo(503);
 			assertThat(afterNotice.body()).contains("\"NOT_RUN\"", "DRAINING");
