--- a/server/src/main/java/org/fulmargap/http/AcceptedFilter.java
+++ b/server/src/main/java/org/fulmargap/http/AcceptedFilter.java
@@ -6,7 +6,7 @@
 import org.fulmargap.timeline.Timeline;
 
 /**
- * Records that a request passed the checks of its form.
+ * Records that a request was authenticated and found valid.
  */
 final class AcceptedFilter implements RequestFilter {
 
@@ -18,7 +18,7 @@
 
 	@Override
 	public CompletableFuture<Reply> apply(Exchange exchange, Next next) {
-		this.timeline.record(EventType.REQUEST_ACCEPTED, exchange.requestId(), exchange.view.version(), "account",
+		this.timeline.record(EventType.REQUEST_ACCEPTED, exchange.requestId(), exchange.configView.version(), "account",
 				exchange.accountName, "pipeline", exchange.pipelineName, "priority", exchange.priority,
 				"deadline_at_ms", exchange.deadline.atMs());
 		return next.proceed();
--- a/server/src/main/java/org/fulmargap/http/Admission.java
+++ b/server/src/main/java/org/fulmargap/http/Admission.java
@@ -5,17 +5,17 @@
 import org.fulmargap.config.PipelineSpec;
 
 /**
- * Admits requests by pipeline.
+ * Decides about the admission of requests, separately for each pipeline.
  */
 @FunctionalInterface
 public interface Admission {
 
 	/**
-	 * Asks for a slot.
+	 * Requests a slot.
 	 * @param pipeline the pipeline that the request will run
 	 * @param request the request
-	 * @param nowMs the present time in milliseconds since the epoch
-	 * @param listener receives the decision exactly once
+	 * @param nowMs the current time in milliseconds since the epoch
+	 * @param listener receives the decision, exactly once
 	 */
 	void admit(PipelineSpec pipeline, AdmissionRequest request, long nowMs, AdmissionListener listener);
 
--- a/server/src/main/java/org/fulmargap/http/AdmissionFilter.java
+++ b/server/src/main/java/org/fulmargap/http/AdmissionFilter.java
@@ -12,7 +12,8 @@
 import org.fulmargap.request.FulmargapException;
 
 /**
- * Waits for a slot without holding a thread, then passes the request to a worker.
+ * Waits for a slot without blocking a thread, then runs the rest of the chain on a worker
+ * thread.
  */
 final class AdmissionFilter implements RequestFilter {
 
--- a/server/src/main/java/org/fulmargap/http/AuthenticationFilter.java
+++ b/server/src/main/java/org/fulmargap/http/AuthenticationFilter.java
@@ -11,7 +11,7 @@
 import org.fulmargap.request.FulmargapException;
 
 /**
- * Finds the client account that a bearer key belongs to.
+ * Identifies the client account by the bearer key of the request.
  */
 final class AuthenticationFilter implements RequestFilter {
 
@@ -21,36 +21,36 @@
 
 	@Override
 	public CompletableFuture<Reply> apply(Exchange exchange, Next next) throws FulmargapException {
-		Optional<String> header = exchange.caller.header("Authorization");
+		Optional<String> header = exchange.callerRequest.header("Authorization");
 		if (header.isEmpty() || !header.get().regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
 			throw new FulmargapException(FailureType.UNAUTHENTICATED, "NO_BEARER_KEY",
 					"the header Authorization with a bearer key is missing");
 		}
 		String key = header.get().substring(SCHEME.length()).strip();
-		String account = index(exchange.view.configuration()).accountsByDigest()
+		String account = index(exchange.configView.configuration()).accountsByDigest()
 			.get(Digests.sha256(key.getBytes(StandardCharsets.UTF_8)));
 		if (account == null) {
 			throw new FulmargapException(FailureType.UNAUTHENTICATED, "UNKNOWN_ACCOUNT",
 					"the bearer key belongs to no client account");
 		}
 		exchange.accountName = account;
-		exchange.account = exchange.view.configuration().accounts().get(account);
+		exchange.account = exchange.configView.configuration().accounts().get(account);
 		return next.proceed();
 	}
 
 	private Index index(Configuration configuration) {
-		Index present = this.index;
-		if (present.configuration() != configuration) {
+		Index current = this.index;
+		if (current.configuration() != configuration) {
 			Map<String, String> accounts = new HashMap<>();
 			configuration.accounts().forEach((name, spec) -> accounts.put(spec.apiKeySha256(), name));
-			present = new Index(configuration, accounts);
-			this.index = present;
+			current = new Index(configuration, accounts);
+			this.index = current;
 		}
-		return present;
+		return current;
 	}
 
 	/**
-	 * Accounts by the digest of their key.
+	 * Names of the client accounts by the digest of their key.
 	 *
 	 * @param configuration the configuration that the index was built from
 	 * @param accountsByDigest the names of the accounts by digest
--- a/server/src/main/java/org/fulmargap/http/BodyFilter.java
+++ b/server/src/main/java/org/fulmargap/http/BodyFilter.java
@@ -11,22 +11,23 @@
 import org.fulmargap.request.FulmargapException;
 
 /**
- * Reads the body up to its bound.
+ * Reads the body and refuses bodies that are too long or too slow.
  */
 final class BodyFilter implements RequestFilter {
 
 	/**
-	 * Bytes beyond the bound that are read and dropped, so that the caller can finish
-	 * sending and receives the refusal instead of a reset connection.
+	 * The number of bytes beyond the limit that are read and discarded, so that the
+	 * caller can finish sending and receives the refusal instead of a reset connection.
 	 */
-	private static final long DISCARD_BYTES = 1 << 20;
+	private static final long MAX_DISCARDED_BYTES = 1 << 20;
 
 	/**
-	 * Time for the whole body, so that slow senders cannot hold the threads of the server
-	 * for long. Jetty's own bound on the data rate also refuses small bodies that arrive
-	 * a few milliseconds after their headers.
+	 * The time in milliseconds within which the body must arrive, so that slow senders
+	 * cannot occupy the threads of the server for long; checked after each read. Jetty's
+	 * minimum data rate is not used, because it also refuses small bodies that arrive a
+	 * few milliseconds after their headers.
 	 */
-	private static final long READ_LIMIT_MS = 10_000;
+	private static final long READ_TIMEOUT_MS = 10_000;
 
 	private final int maxBodyBytes;
 
@@ -39,9 +40,9 @@
 
 	@Override
 	public CompletableFuture<Reply> apply(Exchange exchange, Next next) throws FulmargapException {
-		try (InputStream stream = exchange.caller.body()) {
-			byte[] body = read(stream, exchange.arrivedAtMs + READ_LIMIT_MS);
-			if (exchange.caller.contentLength() > this.maxBodyBytes || stream.read() >= 0) {
+		try (InputStream stream = exchange.callerRequest.body()) {
+			byte[] body = read(stream, exchange.arrivedAtMs + READ_TIMEOUT_MS);
+			if (exchange.callerRequest.contentLength() > this.maxBodyBytes || stream.read() >= 0) {
 				discard(stream);
 				throw new FulmargapException(FailureType.BODY_TOO_LARGE, "BODY_TOO_LARGE",
 						"the body is longer than " + this.maxBodyBytes + " bytes");
@@ -65,7 +66,7 @@
 			}
 			body.write(buffer, 0, n);
 			if (this.clock.getAsLong() > endMs) {
-				throw new IOException("the body did not arrive within " + READ_LIMIT_MS + " ms");
+				throw new IOException("the body did not arrive within " + READ_TIMEOUT_MS + " ms");
 			}
 		}
 		return body.toByteArray();
@@ -74,7 +75,7 @@
 	private static void discard(InputStream stream) throws IOException {
 		byte[] buffer = new byte[8192];
 		long discarded = 0;
-		for (int n = 0; n >= 0 && discarded < DISCARD_BYTES; n = stream.read(buffer)) {
+		for (int n = 0; n >= 0 && discarded < MAX_DISCARDED_BYTES; n = stream.read(buffer)) {
 			discarded += n;
 		}
 	}
--- a/server/src/main/java/org/fulmargap/http/CallerApi.java
+++ b/server/src/main/java/org/fulmargap/http/CallerApi.java
@@ -20,13 +20,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * HTTP interface for callers.
+ * The HTTP API for callers.
  */
 public final class CallerApi implements AutoCloseable {
 
 	private static final Logger LOG = LoggerFactory.getLogger(CallerApi.class);
 
-	/** Threads of the server; requests that wait hold none of them. */
+	/**
+	 * The maximum number of threads of the HTTP server. Requests that wait do not occupy
+	 * one of them.
+	 */
 	private static final int MAX_THREADS = 32;
 
 	private final CallerServices services;
@@ -40,8 +43,8 @@
 	private final AtomicInteger inFlight = new AtomicInteger();
 
 	/**
-	 * Creates the interface.
-	 * @param services what the interface needs to handle requests
+	 * Creates the API. It does not listen yet.
+	 * @param services the services that handle requests
 	 */
 	public CallerApi(CallerServices services) {
 		this.services = services;
@@ -61,16 +64,16 @@
 	}
 
 	/**
-	 * Starts to listen.
+	 * Starts to listen for connections.
 	 * @param host the IP address
-	 * @param port the port, zero for any free one
+	 * @param port the port, zero for any free port
 	 */
 	public void start(String host, int port) {
 		this.javalin.start(host, port);
 	}
 
 	/**
-	 * Returns the port that the interface listens on.
+	 * Returns the port on which the API listens.
 	 * @return the port
 	 */
 	public int port() {
@@ -78,7 +81,7 @@
 	}
 
 	/**
-	 * Returns the number of requests whose reply is not written yet.
+	 * Returns the number of requests whose reply has not been written yet.
 	 * @return the number of requests in flight
 	 */
 	public int inFlight() {
@@ -86,7 +89,7 @@
 	}
 
 	private void unknownPath(Context ctx) {
-		if (!ctx.res().containsHeader(HttpServers.TYPED)) {
+		if (!ctx.res().containsHeader(HttpServers.REQUEST_ID_HEADER)) {
 			write(ctx, HttpServers.unknownPath(ctx.path()), "");
 		}
 	}
@@ -95,7 +98,7 @@
 		this.inFlight.incrementAndGet();
 		this.services.metrics().meter("requests").mark();
 		Exchange exchange = new Exchange(this.services.incarnation(), this.nextNumber.incrementAndGet(),
-				this.services.clock().getAsLong(), new Input(ctx), this.services.config().current());
+				this.services.clock().getAsLong(), new JavalinRequest(ctx), this.services.config().current());
 		EventStream events = new EventStream(() -> {
 			ctx.res().setStatus(200);
 			ctx.res().setContentType("text/event-stream");
@@ -103,12 +106,12 @@
 			return ctx.res().getOutputStream();
 		});
 		exchange.sink = (index, text) -> {
-			if (exchange.stream) {
+			if (exchange.streamed) {
 				events.token(index, text);
 			}
 		};
 		ctx.future(() -> run(exchange).thenAccept((reply) -> {
-			count(exchange, reply);
+			recordResult(exchange, reply);
 			write(ctx, exchange, events, reply);
 		}).whenComplete((done, ex) -> {
 			this.inFlight.decrementAndGet();
@@ -129,7 +132,8 @@
 		return reply.exceptionally((ex) -> {
 			LOG.error("request {} failed unexpectedly", exchange.requestId(), ex);
 			this.services.invariants()
-				.check(false, "UNEXPECTED_EXCEPTION", exchange.requestId(), exchange.view.version(), ex.toString());
+				.check(false, "UNEXPECTED_EXCEPTION", exchange.requestId(), exchange.configView.version(),
+						ex.toString());
 			boolean idempotent = exchange.pipeline == null || exchange.pipeline.idempotent();
 			FailureType type = idempotent ? FailureType.STAGE_FAILED : FailureType.OUTCOME_UNKNOWN;
 			return Reply.failed(new FulmargapException(type, "INTERNAL_ERROR", "the request failed unexpectedly", ex),
@@ -137,24 +141,25 @@
 		});
 	}
 
-	private void count(Exchange exchange, Reply reply) {
+	private void recordResult(Exchange exchange, Reply reply) {
 		long totalMs = this.services.clock().getAsLong() - exchange.arrivedAtMs;
 		if (reply.output().isPresent()) {
 			this.services.metrics().counter("requests_answered").inc();
 			this.services.metrics().timer("request_duration").update(totalMs, TimeUnit.MILLISECONDS);
 			this.services.timeline()
-				.record(EventType.REQUEST_ANSWERED, exchange.requestId(), exchange.view.version(), "total_ms", totalMs);
+				.record(EventType.REQUEST_ANSWERED, exchange.requestId(), exchange.configView.version(), "total_ms",
+						totalMs);
 			return;
 		}
 		String type = reply.failure().map((failure) -> failure.type().name()).orElse("RECORDED_FAILURE");
 		this.services.metrics().counter("requests_failed." + type).inc();
 		this.services.timeline()
-			.record(EventType.REQUEST_FAILED, exchange.requestId(), exchange.view.version(), "type", type, "reason",
-					reply.failure().map(FulmargapException::reason).orElse(""), "total_ms", totalMs);
+			.record(EventType.REQUEST_FAILED, exchange.requestId(), exchange.configView.version(), "type", type,
+					"reason", reply.failure().map(FulmargapException::reason).orElse(""), "total_ms", totalMs);
 	}
 
 	private void write(Context ctx, Exchange exchange, EventStream events, Reply reply) {
-		if (events.isStarted() || (exchange.stream && reply.output().isPresent())) {
+		if (events.isStarted() || (exchange.streamed && reply.output().isPresent())) {
 			try {
 				events.end(reply);
 			}
@@ -168,8 +173,8 @@
 
 	private static void write(Context ctx, Reply reply, String requestId) {
 		ctx.status(reply.status());
-		ctx.header(HttpServers.TYPED, requestId);
-		if (reply.isRetryLater()) {
+		ctx.header(HttpServers.REQUEST_ID_HEADER, requestId);
+		if (reply.hasRetryAfter()) {
 			ctx.header("Retry-After", Long.toString(retryAfterSeconds(reply)));
 		}
 		ctx.contentType("application/json");
@@ -189,11 +194,11 @@
 	}
 
 	/**
-	 * Reads the request from the HTTP library.
+	 * Adapts a request of the HTTP library.
 	 *
-	 * @param ctx the request
+	 * @param ctx the context of the request
 	 */
-	private record Input(Context ctx) implements CallerInput {
+	private record JavalinRequest(Context ctx) implements CallerRequest {
 
 		@Override
 		public Optional<String> header(String name) {
--- a/server/src/main/java/org/fulmargap/http/CallerInput.java
+++ b/server/src/main/java/org/fulmargap/http/CallerRequest.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 
 /**
- * What a caller sent, independent of the HTTP library.
+ * The HTTP request of a caller, independent of the HTTP library.
  */
-interface CallerInput {
+interface CallerRequest {
 
 	/**
 	 * Returns a request header.
@@ -17,20 +17,20 @@
 	Optional<String> header(String name);
 
 	/**
-	 * Returns the pipeline that the path names.
+	 * Returns the name of the pipeline in the path.
 	 * @return the name
 	 */
 	String pipeline();
 
 	/**
-	 * Returns the announced length of the body.
-	 * @return the length in bytes, negative if it is not announced
+	 * Returns the length of the body that the caller declared.
+	 * @return the length in bytes, negative if it was not declared
 	 */
 	long contentLength();
 
 	/**
 	 * Opens the body.
-	 * @return the stream
+	 * @return a stream of the body
 	 * @throws IOException if the body cannot be read
 	 */
 	InputStream body() throws IOException;
--- a/server/src/main/java/org/fulmargap/http/ClaimFilter.java
+++ b/server/src/main/java/org/fulmargap/http/ClaimFilter.java
@@ -17,8 +17,8 @@
 import org.fulmargap.timeline.Timeline;
 
 /**
- * Claims the key of a non-idempotent request before anything else can refuse it, and ends
- * the claim with the request.
+ * Claims the key of a non-idempotent request before any of the filters that may refuse a
+ * valid request, and completes or releases the claim when the request has ended.
  */
 final class ClaimFilter implements RequestFilter {
 
@@ -39,13 +39,13 @@
 		if (exchange.pipeline.idempotent()) {
 			return next.proceed();
 		}
-		ClaimKey key = new ClaimKey(exchange.accountName, exchange.key.orElseThrow());
+		ClaimKey key = new ClaimKey(exchange.accountName, exchange.idempotencyKey.orElseThrow());
 		return this.claims.claim(key, exchange.digest, exchange.requestId(), exchange.deadline)
-			.thenComposeAsync((result) -> decided(exchange, next, result), this.callbacks);
+			.thenComposeAsync((result) -> handleResult(exchange, next, result), this.callbacks);
 	}
 
-	private CompletableFuture<Reply> decided(Exchange exchange, Next next, ClaimService.Result result) {
-		this.timeline.record(EventType.CLAIM_DECIDED, exchange.requestId(), exchange.view.version(), "result",
+	private CompletableFuture<Reply> handleResult(Exchange exchange, Next next, ClaimService.Result result) {
+		this.timeline.record(EventType.CLAIM_DECIDED, exchange.requestId(), exchange.configView.version(), "result",
 				result.getClass().getSimpleName());
 		if (result instanceof ClaimService.Result.Refused refused) {
 			return CompletableFuture
@@ -56,10 +56,10 @@
 		}
 		ClaimService.Handle handle = ((ClaimService.Result.Owned) result).handle();
 		exchange.claim = Optional.of(handle);
-		return next.proceed().thenApply((reply) -> end(handle, reply));
+		return next.proceed().thenApply((reply) -> endClaim(handle, reply));
 	}
 
-	private static Reply end(ClaimService.Handle handle, Reply reply) {
+	private static Reply endClaim(ClaimService.Handle handle, Reply reply) {
 		if (reply.runState().allowsKeyReuse()) {
 			handle.release();
 		}
--- a/server/src/main/java/org/fulmargap/http/DeadlineFilter.java
+++ b/server/src/main/java/org/fulmargap/http/DeadlineFilter.java
@@ -9,7 +9,7 @@
 import org.fulmargap.request.Priority;
 
 /**
- * Determines the deadline and the priority.
+ * Determines the deadline and the priority of a request.
  */
 final class DeadlineFilter implements RequestFilter {
 
@@ -20,7 +20,7 @@
 	@Override
 	public CompletableFuture<Reply> apply(Exchange exchange, Next next) throws FulmargapException {
 		long limitMs = exchange.pipeline.deadlineMs();
-		Optional<String> header = exchange.caller.header(DEADLINE_HEADER);
+		Optional<String> header = exchange.callerRequest.header(DEADLINE_HEADER);
 		if (header.isPresent()) {
 			limitMs = Math.min(limitMs, milliseconds(header.get()));
 		}
@@ -29,7 +29,8 @@
 					"the deadline had passed when the request arrived");
 		}
 		exchange.deadline = Deadline.after(exchange.arrivedAtMs, limitMs);
-		exchange.priority = priority(exchange.caller.header(PRIORITY_HEADER)).atMost(exchange.account.maxPriority());
+		exchange.priority = priority(exchange.callerRequest.header(PRIORITY_HEADER))
+			.atMost(exchange.account.maxPriority());
 		return next.proceed();
 	}
 
--- a/server/src/main/java/org/fulmargap/http/Digests.java
+++ b/server/src/main/java/org/fulmargap/http/Digests.java
@@ -16,8 +16,8 @@
 
 	/**
 	 * Computes the digest of several parts. Each part is preceded by its length, so that
-	 * different parts never yield the same input.
-	 * @param parts the parts
+	 * different lists of parts never yield the same input of the digest.
+	 * @param parts the parts, in order
 	 * @return 64 lower-case hexadecimal digits
 	 */
 	static String sha256OfParts(byte[]... parts) {
--- a/server/src/main/java/org/fulmargap/http/EventStream.java
+++ b/server/src/main/java/org/fulmargap/http/EventStream.java
@@ -11,19 +11,20 @@
 import org.fulmargap.endpoint.TokenSink;
 
 /**
- * Writes a streamed answer as server-sent events. The HTTP status is sent with the first
- * token, so that a request that fails before it still gets the status of its failure.
+ * Writes a streamed answer as server-sent events. The response starts with the first
+ * event, so that a request that fails before its first token still gets the HTTP status
+ * of its failure.
  */
 final class EventStream implements TokenSink {
 
-	private final Output output;
+	private final ResponseStarter responseStarter;
 
 	private OutputStream stream;
 
-	private int tokens;
+	private int tokenCount;
 
-	EventStream(Output output) {
-		this.output = output;
+	EventStream(ResponseStarter responseStarter) {
+		this.responseStarter = responseStarter;
 	}
 
 	boolean isStarted() {
@@ -36,46 +37,46 @@
 		data.put("index", index);
 		data.put("text", text);
 		write("token", data);
-		this.tokens++;
+		this.tokenCount++;
 	}
 
 	/**
-	 * Writes the last event.
+	 * Writes the last event: the result, or the failure if tokens were already sent.
 	 * @param reply the reply to the request
-	 * @throws IOException if the caller is gone
+	 * @throws IOException if the connection to the caller is closed
 	 */
 	void end(Reply reply) throws IOException {
-		JsonNode body = parse(reply.body());
+		JsonNode body = parseJson(reply.body());
 		if (reply.output().isEmpty()) {
 			write("error", body);
 			return;
 		}
-		if (this.tokens == 0 && !reply.output().get().isEmpty()) {
+		if (this.tokenCount == 0 && !reply.output().get().isEmpty()) {
 			token(0, reply.output().get());
 		}
 		ObjectNode done = Json.mapper().createObjectNode();
-		done.put("count", this.tokens);
+		done.put("count", this.tokenCount);
 		done.setAll((ObjectNode) body);
 		write("done", done);
 	}
 
-	private static JsonNode parse(String json) throws JsonProcessingException {
+	private static JsonNode parseJson(String json) throws JsonProcessingException {
 		return Json.mapper().readTree(json);
 	}
 
 	private void write(String event, JsonNode data) throws IOException {
 		if (this.stream == null) {
-			this.stream = this.output.start();
+			this.stream = this.responseStarter.start();
 		}
 		this.stream.write(("event: " + event + "\ndata: " + data + "\n\n").getBytes(StandardCharsets.UTF_8));
 		this.stream.flush();
 	}
 
 	/**
-	 * Starts the HTTP response.
+	 * Starts the HTTP response and returns the stream of its body.
 	 */
 	@FunctionalInterface
-	interface Output {
+	interface ResponseStarter {
 
 		OutputStream start() throws IOException;
 
--- a/server/src/main/java/org/fulmargap/http/Exchange.java
+++ b/server/src/main/java/org/fulmargap/http/Exchange.java
@@ -11,8 +11,8 @@
 import org.fulmargap.request.Priority;
 
 /**
- * One request of a caller on its way through the filters. Each filter sets the fields
- * that it has checked; the chain runs one filter at a time.
+ * State of one request while the filters handle it. Each filter sets the fields that it
+ * has checked. The chain runs one filter at a time, so the fields need no lock.
  */
 final class Exchange {
 
@@ -22,9 +22,9 @@
 
 	final long arrivedAtMs;
 
-	final CallerInput caller;
+	final CallerRequest callerRequest;
 
-	final ConfigService.View view;
+	final ConfigService.View configView;
 
 	byte[] body = new byte[0];
 
@@ -38,13 +38,13 @@
 
 	String input = "";
 
-	boolean stream;
+	boolean streamed;
 
 	Deadline deadline;
 
 	Priority priority = Priority.NORMAL;
 
-	Optional<String> key = Optional.empty();
+	Optional<String> idempotencyKey = Optional.empty();
 
 	String digest = "";
 
@@ -56,12 +56,13 @@
 
 	TokenSink sink = TokenSink.NONE;
 
-	Exchange(String incarnation, long number, long arrivedAtMs, CallerInput caller, ConfigService.View view) {
+	Exchange(String incarnation, long number, long arrivedAtMs, CallerRequest callerRequest,
+			ConfigService.View configView) {
 		this.incarnation = incarnation;
 		this.number = number;
 		this.arrivedAtMs = arrivedAtMs;
-		this.caller = caller;
-		this.view = view;
+		this.callerRequest = callerRequest;
+		this.configView = configView;
 	}
 
 	String requestId() {
--- a/server/src/main/java/org/fulmargap/http/ExecutionFilter.java
+++ b/server/src/main/java/org/fulmargap/http/ExecutionFilter.java
@@ -14,7 +14,7 @@
 import org.fulmargap.timeline.Invariants;
 
 /**
- * Runs the request on the present thread, which is a worker.
+ * Runs the request on the current thread, which is a worker thread.
  */
 final class ExecutionFilter implements RequestFilter {
 
@@ -37,9 +37,9 @@
 			return reply(exchange, this.executor.run(request(exchange)));
 		}
 		catch (RuntimeException ex) {
-			// A defect must not leave a claim open, and it is not known how far the
-			// request got.
-			this.invariants.check(false, "UNEXPECTED_EXCEPTION", exchange.requestId(), exchange.view.version(),
+			// A defect must not leave the claim unfinished. It is not known how much of
+			// the request ran, so the key is not released.
+			this.invariants.check(false, "UNEXPECTED_EXCEPTION", exchange.requestId(), exchange.configView.version(),
 					ex.toString());
 			FailureType type = exchange.pipeline.idempotent() ? FailureType.STAGE_FAILED : FailureType.OUTCOME_UNKNOWN;
 			return Reply.failed(new FulmargapException(type, "INTERNAL_ERROR", "the request failed unexpectedly", ex),
@@ -49,8 +49,8 @@
 
 	private static PipelineRequest request(Exchange exchange) {
 		return new PipelineRequest(exchange.incarnation, exchange.number, exchange.pipelineName, exchange.pipeline,
-				exchange.view.configuration(), exchange.view.version(), exchange.input, exchange.priority,
-				exchange.deadline, exchange.arrivedAtMs, exchange.fingerprint, exchange.key, exchange.claim,
+				exchange.configView.configuration(), exchange.configView.version(), exchange.input, exchange.priority,
+				exchange.deadline, exchange.arrivedAtMs, exchange.fingerprint, exchange.idempotencyKey, exchange.claim,
 				exchange.sink, exchange.ownDomainOnly);
 	}
 
@@ -61,7 +61,7 @@
 		ObjectNode body = Json.mapper().createObjectNode();
 		body.put("request_id", exchange.requestId());
 		body.put("pipeline", exchange.pipelineName);
-		body.put("config_version", exchange.view.version());
+		body.put("config_version", exchange.configView.version());
 		body.put("output", result.output());
 		body.put("first_token_ms", result.firstTokenMs());
 		body.put("total_ms", result.totalMs());
--- a/server/src/main/java/org/fulmargap/http/FilterChain.java
+++ b/server/src/main/java/org/fulmargap/http/FilterChain.java
@@ -7,7 +7,7 @@
 import org.fulmargap.request.FulmargapException;
 
 /**
- * Runs filters in order.
+ * Runs the filters of a request in order.
  */
 final class FilterChain {
 
--- a/server/src/main/java/org/fulmargap/http/GateFilter.java
+++ b/server/src/main/java/org/fulmargap/http/GateFilter.java
@@ -10,7 +10,7 @@
 import org.fulmargap.request.FulmargapException;
 
 /**
- * Refuses requests that this entry VM must not run at present.
+ * Refuses requests that this entry VM must not run at the current time.
  */
 final class GateFilter implements RequestFilter {
 
@@ -27,19 +27,19 @@
 	public CompletableFuture<Reply> apply(Exchange exchange, Next next) throws FulmargapException {
 		long nowMs = this.clock.getAsLong();
 		this.gate.check(exchange.fingerprint, nowMs);
-		checkDoubt(exchange);
+		checkPendingConfiguration(exchange);
 		exchange.ownDomainOnly = this.gate.ownDomainOnly(nowMs);
 		return next.proceed();
 	}
 
-	private static void checkDoubt(Exchange exchange) throws FulmargapException {
-		Optional<Configuration> pending = exchange.view.pending();
+	private static void checkPendingConfiguration(Exchange exchange) throws FulmargapException {
+		Optional<Configuration> pending = exchange.configView.pending();
 		if (pending.isEmpty()) {
 			return;
 		}
-		boolean same = Objects.equals(pending.get().pipelines().get(exchange.pipelineName), exchange.pipeline)
+		boolean unaffected = Objects.equals(pending.get().pipelines().get(exchange.pipelineName), exchange.pipeline)
 				&& Objects.equals(pending.get().accounts().get(exchange.accountName), exchange.account);
-		if (!same) {
+		if (!unaffected) {
 			throw new FulmargapException(FailureType.NOT_RUN, "CONFIG_IN_DOUBT",
 					"a configuration change that affects this request is not decided yet");
 		}
--- a/server/src/main/java/org/fulmargap/http/HttpServers.java
+++ b/server/src/main/java/org/fulmargap/http/HttpServers.java
@@ -15,8 +15,11 @@
  */
 final class HttpServers {
 
-	/** Header with the identity of the request, set on every typed answer. */
-	static final String TYPED = "Fulmargap-Request";
+	/**
+	 * The header with the id of the request, empty for requests of operators. A 404
+	 * answer without this header comes from the HTTP library, which found no handler.
+	 */
+	static final String REQUEST_ID_HEADER = "Fulmargap-Request";
 
 	private HttpServers() {
 	}
--- a/server/src/main/java/org/fulmargap/http/KeyFilter.java
+++ b/server/src/main/java/org/fulmargap/http/KeyFilter.java
@@ -8,7 +8,7 @@
 import org.fulmargap.request.FulmargapException;
 
 /**
- * Checks the idempotency key and its age.
+ * Checks the form, the presence and the age of the idempotency key.
  */
 final class KeyFilter implements RequestFilter {
 
@@ -24,7 +24,7 @@
 
 	@Override
 	public CompletableFuture<Reply> apply(Exchange exchange, Next next) throws FulmargapException {
-		Optional<String> key = exchange.caller.header(KEY_HEADER);
+		Optional<String> key = exchange.callerRequest.header(KEY_HEADER);
 		if (key.isPresent() && !ClaimKey.isValidKey(key.get())) {
 			throw new FulmargapException(FailureType.KEY_INVALID, "KEY_INVALID",
 					KEY_HEADER + " must be 1 to " + ClaimKey.MAX_KEY_CHARS + " visible ASCII characters");
@@ -34,12 +34,12 @@
 					+ " is not idempotent, so the header " + KEY_HEADER + " is required");
 		}
 		checkAge(exchange);
-		exchange.key = key;
+		exchange.idempotencyKey = key;
 		return next.proceed();
 	}
 
 	private void checkAge(Exchange exchange) throws FulmargapException {
-		Optional<String> issued = exchange.caller.header(ISSUED_HEADER);
+		Optional<String> issued = exchange.callerRequest.header(ISSUED_HEADER);
 		if (issued.isEmpty() || exchange.pipeline.idempotent()) {
 			return;
 		}
--- a/server/src/main/java/org/fulmargap/http/MetricsReport.java
+++ b/server/src/main/java/org/fulmargap/http/MetricsReport.java
@@ -7,7 +7,7 @@
 import org.fulmargap.config.Json;
 
 /**
- * Writes metrics as JSON.
+ * Converts metrics to JSON.
  */
 final class MetricsReport {
 
@@ -22,7 +22,7 @@
 		ObjectNode root = Json.mapper().createObjectNode();
 		ObjectNode counters = root.putObject("counters");
 		metrics.getCounters().forEach((name, counter) -> counters.put(name, counter.getCount()));
-		// Parts with checks of their own count under their own prefix.
+		// The ledgers count violations under prefixes of their own; this is the total.
 		counters.put(VIOLATIONS,
 				metrics.getCounters((name, metric) -> name.endsWith(VIOLATIONS))
 					.values()
--- a/server/src/main/java/org/fulmargap/http/OperatorApi.java
+++ b/server/src/main/java/org/fulmargap/http/OperatorApi.java
@@ -20,7 +20,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * HTTP interface for operators, on the admin port.
+ * The HTTP API for operators, on the admin port.
  */
 public final class OperatorApi implements AutoCloseable {
 
@@ -43,10 +43,10 @@
 	private final Javalin javalin;
 
 	/**
-	 * Creates the interface.
-	 * @param config the configuration
-	 * @param actions what operators can do besides changing the configuration
-	 * @param timeline the events to query
+	 * Creates the API. It does not listen yet.
+	 * @param config the configuration service
+	 * @param actions the actions and queries other than changes of the configuration
+	 * @param timeline the timeline that operators can query
 	 * @param metrics the metrics to report
 	 */
 	public OperatorApi(ConfigService config, OperatorActions actions, Timeline timeline, MetricRegistry metrics) {
@@ -74,7 +74,7 @@
 						"the request failed unexpectedly"));
 			});
 			routes.error(404, (ctx) -> {
-				if (!ctx.res().containsHeader(HttpServers.TYPED)) {
+				if (!ctx.res().containsHeader(HttpServers.REQUEST_ID_HEADER)) {
 					ctx.contentType("application/json").result(HttpServers.unknownPath(ctx.path()).body());
 				}
 			});
@@ -82,16 +82,16 @@
 	}
 
 	/**
-	 * Starts to listen.
+	 * Starts to listen for connections.
 	 * @param host the IP address
-	 * @param port the port, zero for any free one
+	 * @param port the port, zero for any free port
 	 */
 	public void start(String host, int port) {
 		this.javalin.start(host, port);
 	}
 
 	/**
-	 * Returns the port that the interface listens on.
+	 * Returns the port on which the API listens.
 	 * @return the port
 	 */
 	public int port() {
@@ -136,7 +136,7 @@
 			error.putObject("error")
 				.put("type", "MALFORMED_REQUEST")
 				.put("reason", "UNKNOWN_PATCH")
-				.put("message", "this entry VM knows no patch " + id)
+				.put("message", "this entry VM does not know patch " + id)
 				.put("request_id", "");
 			json(ctx, 404, error);
 			return;
@@ -228,7 +228,7 @@
 	}
 
 	private static void json(Context ctx, int status, JsonNode node) {
-		ctx.header(HttpServers.TYPED, "");
+		ctx.header(HttpServers.REQUEST_ID_HEADER, "");
 		ctx.status(status).contentType("application/json").result(node.toString());
 	}
 
@@ -238,11 +238,11 @@
 	}
 
 	/**
-	 * Body of a patch.
+	 * Body of a request to patch the configuration.
 	 *
 	 * @param patchId the identity of the patch
 	 * @param expectedVersion the version that the patch applies to
-	 * @param mergePatch the merge patch
+	 * @param mergePatch the JSON Merge Patch (RFC 7396)
 	 */
 	private record PatchBody(@JsonProperty(value = "patch_id", required = true) String patchId,
 			@JsonProperty(value = "expected_version", required = true) long expectedVersion,
@@ -250,9 +250,9 @@
 	}
 
 	/**
-	 * Body of an order.
+	 * Body of a request to change the state of a failure domain or endpoint.
 	 *
-	 * @param state the state wanted
+	 * @param state the requested state
 	 */
 	private record StateBody(@JsonProperty(value = "state", required = true) State state) {
 
--- a/server/src/main/java/org/fulmargap/http/PatchHistory.java
+++ b/server/src/main/java/org/fulmargap/http/PatchHistory.java
@@ -7,11 +7,12 @@
 import org.fulmargap.ledger.ConfigService;
 
 /**
- * Remembers the decisions about the most recent patches that were sent to this entry VM.
+ * Stores the decisions about the most recent patches that operators sent to this entry
+ * VM.
  */
 final class PatchHistory {
 
-	/** About one day of changes at the design size. */
+	/** The number of stored patches, about one day of changes at the design size. */
 	private static final int CAPACITY = 1500;
 
 	private final Map<String, Optional<ConfigService.Decision>> decisions = new LinkedHashMap<>() {
@@ -34,9 +35,10 @@
 	}
 
 	/**
-	 * Finds a patch.
+	 * Finds the decision about a patch.
 	 * @param patchId the identity of the patch
-	 * @return {@code null} if the patch is not known, empty if it is not decided yet
+	 * @return the decision, empty if the patch is not decided yet, {@code null} if it is
+	 * not stored
 	 */
 	synchronized Optional<ConfigService.Decision> find(String patchId) {
 		return this.decisions.get(patchId);
--- a/server/src/main/java/org/fulmargap/http/PipelineFilter.java
+++ b/server/src/main/java/org/fulmargap/http/PipelineFilter.java
@@ -11,20 +11,20 @@
 import org.fulmargap.request.FulmargapException;
 
 /**
- * Finds the pipeline and parses the body.
+ * Finds the pipeline, parses the body and computes the digests of the request.
  */
 final class PipelineFilter implements RequestFilter {
 
 	@Override
 	public CompletableFuture<Reply> apply(Exchange exchange, Next next) throws FulmargapException {
-		exchange.pipelineName = exchange.caller.pipeline();
-		exchange.pipeline = exchange.view.configuration()
+		exchange.pipelineName = exchange.callerRequest.pipeline();
+		exchange.pipeline = exchange.configView.configuration()
 			.pipeline(exchange.pipelineName)
 			.orElseThrow(() -> new FulmargapException(FailureType.UNKNOWN_PIPELINE, "UNKNOWN_PIPELINE",
 					"the configuration has no pipeline " + exchange.pipelineName));
 		Body body = parse(exchange.body);
 		exchange.input = body.input();
-		exchange.stream = Boolean.TRUE.equals(body.stream());
+		exchange.streamed = Boolean.TRUE.equals(body.stream());
 		byte[] pipeline = Digests.utf8(exchange.pipelineName);
 		exchange.digest = Digests.sha256OfParts(pipeline, exchange.body);
 		exchange.fingerprint = Digests.sha256OfParts(Digests.utf8(exchange.accountName), pipeline, exchange.body);
@@ -35,7 +35,7 @@
 		try {
 			Body body = Json.mapper().readValue(bytes, Body.class);
 			if (body == null || body.input() == null) {
-				throw malformed("BODY_INVALID", "field 'input' must be a text", null);
+				throw malformed("BODY_INVALID", "field 'input' must be a string", null);
 			}
 			return body;
 		}
@@ -58,7 +58,7 @@
 	 * The body of a request.
 	 *
 	 * @param input the input of the first stage
-	 * @param stream whether the answer is streamed, {@code null} for no
+	 * @param stream whether the answer is streamed; {@code null} means no
 	 */
 	private record Body(@JsonProperty(value = "input", required = true) String input,
 			@JsonProperty("stream") Boolean stream) {
--- a/server/src/main/java/org/fulmargap/http/Reply.java
+++ b/server/src/main/java/org/fulmargap/http/Reply.java
@@ -8,13 +8,14 @@
 import org.fulmargap.request.FulmargapException;
 
 /**
- * The answer to one request.
+ * The reply to one request.
  *
  * @param status the HTTP status
  * @param body the JSON body
  * @param output the output of the pipeline, empty if the request failed
- * @param runState how far the request got
- * @param failure the failure, if the request failed here
+ * @param runState how much of the request may have run
+ * @param failure the failure, empty if the request succeeded or the reply is the recorded
+ * one of an earlier request
  */
 record Reply(int status, String body, Optional<String> output, RunState runState,
 		Optional<FulmargapException> failure) {
@@ -30,7 +31,7 @@
 				Optional.of(failure));
 	}
 
-	boolean isRetryLater() {
+	boolean hasRetryAfter() {
 		return this.status == 429 || this.status == 503;
 	}
 
--- a/server/src/main/java/org/fulmargap/http/package-info.java
+++ b/server/src/main/java/org/fulmargap/http/package-info.java
@@ -1,4 +1,4 @@
 /**
- * HTTP interfaces for callers and operators.
+ * HTTP APIs for callers and operators.
  */
 package org.fulmargap.http;
--- a/server/src/test/java/org/fulmargap/http/CallerApiTests.java
+++ b/server/src/test/java/org/fulmargap/http/CallerApiTests.java
@@ -23,8 +23,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against requests that are refused with the wrong type, that disturb others, or
- * whose claim does not match what happened to them.
+ * Guards against requests that are refused with the wrong type, that affect other
+ * requests, or whose claim does not match their result.
  */
 class CallerApiTests {
 
@@ -52,7 +52,7 @@
 	}
 
 	@Nested
-	class BadInput {
+	class InvalidInput {
 
 		private void assertRefused(String expected, String pipeline, String body, String... headers) throws Exception {
 			HttpResponse<String> response = CallerApiTests.this.service.post(pipeline, body, headers);
@@ -98,14 +98,14 @@
 		}
 
 		@Test
-		void keyOlderThanClaimsAreKeptIsRefused() throws Exception {
+		void keyOlderThanItsLifetimeIsRefused() throws Exception {
 			long issuedAtMs = System.currentTimeMillis() - TestService.KEY_LIFETIME_MS - 1;
 			assertRefused("410 KEY_EXPIRED KEY_EXPIRED", "book", BODY, KEY, "k1", "Fulmargap-Key-Issued-At-Ms",
 					Long.toString(issuedAtMs));
 		}
 
 		@Test
-		void bodyOverItsBoundIsRefused() throws Exception {
+		void bodyOverTheSizeLimitIsRefused() throws Exception {
 			assertRefused("413 BODY_TOO_LARGE BODY_TOO_LARGE", "look",
 					"{\"input\":\"" + "x".repeat(3 * TestService.MAX_BODY_BYTES) + "\"}");
 		}
@@ -126,7 +126,7 @@
 		}
 
 		@Test
-		void keyOfAnotherBodyIsRefused() throws Exception {
+		void keyReusedWithAnotherBodyIsRefused() throws Exception {
 			assertThat(CallerApiTests.this.service.post("book", BODY, KEY, "k1").statusCode()).isEqualTo(200);
 			HttpResponse<String> response = CallerApiTests.this.service.post("book", "{\"input\":\"other\"}", KEY,
 					"k1");
@@ -148,7 +148,7 @@
 		}
 
 		@Test
-		void repeatedRequestGetsTheRecordedAnswer() throws Exception {
+		void retriedRequestGetsTheRecordedAnswer() throws Exception {
 			String first = book("k1").body();
 			assertThat(book("k1").body()).isEqualTo(first);
 			assertThat(CallerApiTests.this.endpoint.stages()).hasSize(1);
@@ -175,7 +175,7 @@
 		}
 
 		@Test
-		void requestThatEveryEndpointRefusedIsNotRunAndItsKeyIsFree() throws Exception {
+		void requestThatEveryEndpointRefusedIsNotRunAndItsKeyIsReleased() throws Exception {
 			CallerApiTests.this.handler = (request, reply) -> reply.json(503,
 					java.util.Map.of("Fulmargap-Attempt", request.attempt(), "Fulmargap-Not-Run", "true"), "{}");
 			assertThat(TestService.error(book("k1"))).startsWith("503 NOT_RUN");
@@ -192,14 +192,14 @@
 		}
 
 		@Test
-		void refusalAsNotRunIsMadeByTheOwnerOfTheClaim() throws Exception {
+		void requestIsRefusedAsNotRunOnlyAfterItsKeyIsClaimed() throws Exception {
 			CallerApiTests.this.service.gateRefusal = new FulmargapException(FailureType.NOT_RUN, "DRAINING", "drain");
 			assertThat(TestService.error(book("k1"))).isEqualTo("503 NOT_RUN DRAINING");
 			assertThat(steps()).containsExactly("claim", "release");
 		}
 
 		@Test
-		void failureBeforeTheActionIsNotCalledNotRunAndLeavesTheKeyFree() throws Exception {
+		void failureBeforeTheActionIsNotReportedAsNotRunAndReleasesTheKey() throws Exception {
 			CallerApiTests.this.handler = (request, reply) -> reply.json(400, java.util.Map.of(), "{}");
 			HttpResponse<String> response = CallerApiTests.this.service.post("price", BODY, KEY, "k1");
 			assertThat(TestService.error(response)).startsWith("502 STAGE_FAILED");
@@ -212,7 +212,7 @@
 	class Idempotent {
 
 		/**
-		 * The endpoint may have crashed because of this request, so another one is used.
+		 * The request may have crashed the endpoint, so the retry must use another one.
 		 */
 		@Test
 		void lostConnectionIsRetriedOnAnotherEndpoint() throws Exception {
@@ -231,12 +231,12 @@
 					FakeEndpoint third = new FakeEndpoint((request, reply) -> reply.reset());
 					TestService three = new TestService(CallerApiTests.this.endpoint, other, third)) {
 				CallerApiTests.this.handler = (request, reply) -> reply.reset();
-				three.watch.statusReported("e0", "i1", false);
-				three.watch.statusReported("e1", "i1", false);
-				three.watch.statusReported("e2", "i1", false);
+				three.monitor.statusReported("e0", "i1", false);
+				three.monitor.statusReported("e1", "i1", false);
+				three.monitor.statusReported("e2", "i1", false);
 				three.post("look", BODY);
 				for (String name : List.of("e0", "e1", "e2")) {
-					three.watch.statusReported(name, "i2", false);
+					three.monitor.statusReported(name, "i2", false);
 				}
 				assertThat(TestService.error(three.post("look", BODY)))
 					.isEqualTo("422 REQUEST_QUARANTINED REQUEST_QUARANTINED");
@@ -264,7 +264,7 @@
 		}
 
 		@Test
-		void lateAnswerIsDroppedAtTheDeadline() throws Exception {
+		void missingAnswerFailsAtTheDeadline() throws Exception {
 			CallerApiTests.this.handler = (request, reply) -> reply.hang();
 			CallerApiTests.this.endpoint.listAttempts("vm1-a/1/0/0", "vm1-a/1/0/1", "vm1-a/1/0/2");
 			long startMs = System.currentTimeMillis();
@@ -284,11 +284,11 @@
 	}
 
 	@Nested
-	class Waiters {
+	class WaitingRequests {
 
 		/**
-		 * Jetty's bound on the data rate refused small bodies whose parts came 20 ms
-		 * apart.
+		 * Guards against Jetty's minimum data rate, which refused small bodies whose
+		 * parts arrived 20 ms apart.
 		 */
 		@Test
 		void smallBodyThatArrivesInPartsIsAccepted() throws Exception {
@@ -306,11 +306,12 @@
 		}
 
 		/**
-		 * Guards against waiting requests that hold the threads of the HTTP server: more
-		 * requests wait than it has threads, and one more is still refused at once.
+		 * Guards against waiting requests that occupy the threads of the HTTP server:
+		 * more requests wait than it has threads, and another request is still refused at
+		 * once.
 		 */
 		@Test
-		void waitingRequestsHoldNoThreadOfTheServer() throws Exception {
+		void waitingRequestsOccupyNoServerThread() throws Exception {
 			CountDownLatch release = new CountDownLatch(1);
 			CallerApiTests.this.handler = (request, reply) -> {
 				release.await();
--- a/server/src/test/java/org/fulmargap/http/MemoryClaims.java
+++ b/server/src/test/java/org/fulmargap/http/MemoryClaims.java
@@ -15,7 +15,7 @@
 import org.fulmargap.request.FulmargapException;
 
 /**
- * Claims in memory, with a record of what happened to them.
+ * In-memory claim service that records the operations on its claims.
  */
 final class MemoryClaims implements ClaimService {
 
@@ -23,21 +23,21 @@
 
 	private final List<String> steps = new CopyOnWriteArrayList<>();
 
-	private volatile boolean abandonsAll;
+	private volatile boolean abandonAll;
 
 	@Override
 	public CompletableFuture<Result> claim(ClaimKey key, String digest, String attemptId, Deadline deadline) {
-		Entry own = new Entry(key, digest);
-		Entry present = this.entries.putIfAbsent(key, own);
-		if (present == null) {
+		Entry created = new Entry(key, digest);
+		Entry existing = this.entries.putIfAbsent(key, created);
+		if (existing == null) {
 			this.steps.add("claim");
-			return CompletableFuture.completedFuture(new Result.Owned(own));
+			return CompletableFuture.completedFuture(new Result.Owned(created));
 		}
-		if (!present.digest.equals(digest)) {
+		if (!existing.digest.equals(digest)) {
 			return CompletableFuture.completedFuture(new Result.Refused(new FulmargapException(FailureType.KEY_CONFLICT,
 					"KEY_CONFLICT", "the idempotency key was used with another pipeline or body")));
 		}
-		return present.end.thenApply((outcome) -> outcome.<Result>map(Result.Finished::new)
+		return existing.outcomeFuture.thenApply((outcome) -> outcome.<Result>map(Result.Finished::new)
 			.orElseGet(() -> new Result.Refused(
 					new FulmargapException(FailureType.NOT_RUN, "RELEASED", "the request with this key did not run"))));
 	}
@@ -47,7 +47,7 @@
 	}
 
 	void abandonAll() {
-		this.abandonsAll = true;
+		this.abandonAll = true;
 	}
 
 	private final class Entry implements Handle {
@@ -56,7 +56,7 @@
 
 		private final String digest;
 
-		private final CompletableFuture<Optional<RecordedOutcome>> end = new CompletableFuture<>();
+		private final CompletableFuture<Optional<RecordedOutcome>> outcomeFuture = new CompletableFuture<>();
 
 		private Entry(ClaimKey key, String digest) {
 			this.key = key;
@@ -66,20 +66,20 @@
 		@Override
 		public boolean markDispatched(long nowMs) {
 			MemoryClaims.this.steps.add("dispatch");
-			return !MemoryClaims.this.abandonsAll;
+			return !MemoryClaims.this.abandonAll;
 		}
 
 		@Override
 		public void complete(RecordedOutcome outcome) {
 			MemoryClaims.this.steps.add(outcome.unknown() ? "unknown" : "complete");
-			this.end.complete(Optional.of(outcome));
+			this.outcomeFuture.complete(Optional.of(outcome));
 		}
 
 		@Override
 		public void release() {
 			MemoryClaims.this.steps.add("release");
 			MemoryClaims.this.entries.remove(this.key, this);
-			this.end.complete(Optional.empty());
+			this.outcomeFuture.complete(Optional.empty());
 		}
 
 	}
--- a/server/src/test/java/org/fulmargap/http/TestService.java
+++ b/server/src/test/java/org/fulmargap/http/TestService.java
@@ -39,7 +39,7 @@
 import org.fulmargap.timeline.Timeline;
 
 /**
- * A caller API with claims and configuration in memory, in front of fake endpoints.
+ * A caller API with in-memory claims and configuration that calls fake endpoints.
  */
 final class TestService implements AutoCloseable {
 
@@ -57,7 +57,7 @@
 
 	final CrashQuarantine quarantine = new CrashQuarantine(100);
 
-	final EndpointMonitor watch = new EndpointMonitor(this.quarantine, (strikes) -> {
+	final EndpointMonitor monitor = new EndpointMonitor(this.quarantine, (crashReports) -> {
 	}, this.timeline, System::currentTimeMillis);
 
 	volatile FulmargapException gateRefusal;
@@ -84,8 +84,8 @@
 		router.update(configuration, java.util.Set.of(), List.of("vm1"), System.currentTimeMillis());
 		this.client = new EndpointClient(System::currentTimeMillis, this.timeline, this.metrics, 16);
 		Invariants invariants = new Invariants(this.timeline, this.metrics);
-		PipelineExecutor executor = new PipelineExecutor(router, this.client, new RetryBudget(), this.watch, invariants,
-				new StageLog(this.timeline, this.metrics), System::currentTimeMillis);
+		PipelineExecutor executor = new PipelineExecutor(router, this.client, new RetryBudget(), this.monitor,
+				invariants, new StageLog(this.timeline, this.metrics), System::currentTimeMillis);
 		FairAdmission admission = new FairAdmission(8, 8, 8);
 		this.api = new CallerApi(new CallerServices("vm1-a", MAX_BODY_BYTES, KEY_LIFETIME_MS, config(), this.claims,
 				gate(), (pipeline, request, nowMs, listener) -> admission.admit(request, nowMs, listener),
