--- a/server/src/main/java/org/fulmargap/timeline/EventType.java
+++ b/server/src/main/java/org/fulmargap/timeline/EventType.java
@@ -1,32 +1,35 @@
 package org.fulmargap.timeline;
 
 /**
- * Types of event that an entry VM records.
+ * Types of the events that an entry VM records in its timeline.
  */
 public enum EventType {
 
-	/** The process has started. */
+	/** The entry VM has started and listens for callers, operators and peers. */
 	STARTED,
 
 	/** The graceful shutdown has begun. */
 	DRAINING,
 
-	/** The process has stopped. */
+	/** The entry VM has stopped, after a graceful shutdown or without one. */
 	STOPPED,
 
-	/** A request passed the checks of its form. */
+	/** A request was authenticated and found valid. It may still be refused. */
 	REQUEST_ACCEPTED,
 
-	/** A request ended with an answer. */
+	/** A request succeeded. */
 	REQUEST_ANSWERED,
 
-	/** A request ended with a typed failure. */
+	/** A request failed, or a retry got the recorded failure of an earlier request. */
 	REQUEST_FAILED,
 
-	/** A claim was decided. */
+	/**
+	 * The attempt to claim an idempotency key ended: the key is owned, another request
+	 * with it has finished, or the request is refused.
+	 */
 	CLAIM_DECIDED,
 
-	/** A stage attempt is sent to an endpoint. */
+	/** A stage attempt is about to be sent to an endpoint. */
 	STAGE_DISPATCHED,
 
 	/** A stage attempt delivered its result. */
@@ -35,42 +38,45 @@
 	/** A stage attempt failed. */
 	STAGE_FAILED,
 
-	/** An answer that belongs to another attempt was dropped. */
+	/** An answer that belongs to another attempt was discarded. */
 	CROSSED_ANSWER,
 
-	/** A call made no progress and its endpoint was probed. */
+	/** The endpoint of a call without progress was probed. */
 	PROBED,
 
-	/** Endpoints crashed while a request ran on them. */
+	/** An endpoint crashed while requests were in flight on it. */
 	CRASH_STRIKE,
 
-	/** A configuration version came into force. */
+	/** A configuration version took effect at this entry VM. */
 	CONFIG_IN_FORCE,
 
-	/** A configuration patch was decided. */
+	/** A configuration patch that an operator sent to this entry VM was decided. */
 	PATCH_DECIDED,
 
 	/** An administrative order was received from an operator. */
 	ORDER_RECEIVED,
 
-	/** The orders in force changed. */
+	/** The administrative orders in force changed. */
 	ORDER_IN_FORCE,
 
-	/** An endpoint was found to be leaving. */
+	/** An endpoint reported that it is leaving. */
 	ENDPOINT_LEAVING,
 
-	/** The state of the platform's log or VM list changed. */
+	/**
+	 * Access to the platform's log or VM list failed or recovered, or the configuration
+	 * was copied from a peer because the log did not answer.
+	 */
 	PLATFORM_STATE,
 
-	/** A message of a peer or a link to a peer failed. */
+	/** A link to a peer was opened, failed or was closed, or a message failed. */
 	PEER_EVENT,
 
-	/** A condition that must always hold was found violated. */
+	/** A violation of a condition that must always hold was detected. */
 	INVARIANT_VIOLATED;
 
 	/**
-	 * Tells whether an operator should look at an event of this type.
-	 * @return {@code true} if the event is logged as a warning
+	 * Returns whether events of this type need the attention of an operator.
+	 * @return {@code true} if the events are logged as warnings
 	 */
 	public boolean isWarning() {
 		return this == INVARIANT_VIOLATED || this == CROSSED_ANSWER || this == CRASH_STRIKE;
--- a/server/src/main/java/org/fulmargap/timeline/Invariants.java
+++ b/server/src/main/java/org/fulmargap/timeline/Invariants.java
@@ -4,8 +4,8 @@
 import com.codahale.metrics.MetricRegistry;
 
 /**
- * Checks conditions that must always hold. A violation is recorded and counted, and the
- * process continues: stopping it would interrupt requests that are not affected.
+ * Checks conditions that must always hold. A violation is recorded and counted, but does
+ * not stop the process, because that would interrupt requests that are not affected.
  */
 public final class Invariants {
 
@@ -14,8 +14,8 @@
 	private final Counter violations;
 
 	/**
-	 * Creates the check.
-	 * @param timeline receives the violations
+	 * Creates an instance.
+	 * @param timeline records the violations
 	 * @param metrics counts the violations as {@code invariant_violations}
 	 */
 	public Invariants(Timeline timeline, MetricRegistry metrics) {
@@ -27,9 +27,9 @@
 	 * Checks a condition.
 	 * @param holds whether the condition holds
 	 * @param invariant a stable upper-case code of the condition
-	 * @param requestId the request concerned, or empty
+	 * @param requestId the id of the affected request, or empty
 	 * @param configVersion the configuration version that applied
-	 * @param detail a text for people
+	 * @param detail a human-readable description of the violation
 	 * @return the value of {@code holds}
 	 */
 	public boolean check(boolean holds, String invariant, String requestId, long configVersion, String detail) {
--- a/server/src/main/java/org/fulmargap/timeline/Timeline.java
+++ b/server/src/main/java/org/fulmargap/timeline/Timeline.java
@@ -15,11 +15,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the most recent events of an entry VM and logs each as one line.
+ * Stores the most recent events of an entry VM in memory and logs each event as one line.
+ * Safe for use by several threads.
  */
 public final class Timeline {
 
-	/** The number of events kept; at about 400 bytes each they take some 3 MB. */
+	/** The number of stored events. At about 400 bytes each they use about 3 MB. */
 	public static final int DEFAULT_CAPACITY = 8192;
 
 	private static final Logger LOG = LoggerFactory.getLogger(Timeline.class);
@@ -35,8 +36,9 @@
 	/**
 	 * Creates an empty timeline.
 	 * @param vm the name of the entry VM
-	 * @param capacity the number of events to keep, at least one
-	 * @param clock the source of the present time in milliseconds since the epoch
+	 * @param capacity the number of events to store, at least one; the oldest are dropped
+	 * first
+	 * @param clock the source of the current time in milliseconds since the epoch
 	 */
 	public Timeline(String vm, int capacity, LongSupplier clock) {
 		if (capacity < 1) {
@@ -48,19 +50,20 @@
 	}
 
 	/**
-	 * Records an event.
+	 * Stores and logs an event. Its time is the current time.
 	 * @param type the type of the event
-	 * @param requestId the request that the event belongs to, or empty
+	 * @param requestId the id of the request that the event belongs to, or empty
 	 * @param configVersion the configuration version that applied
-	 * @param fields alternating names and values of further data
+	 * @param fields alternating names and values of further data; values other than
+	 * numbers and booleans are converted to text
 	 */
 	public void record(EventType type, String requestId, long configVersion, Object... fields) {
-		Map<String, Object> map = new LinkedHashMap<>();
+		Map<String, Object> values = new LinkedHashMap<>();
 		for (int i = 0; i + 1 < fields.length; i += 2) {
-			map.put(String.valueOf(fields[i]), plain(fields[i + 1]));
+			values.put(String.valueOf(fields[i]), toJsonValue(fields[i + 1]));
 		}
 		TimelineEvent event = new TimelineEvent(this.clock.getAsLong(), this.vm, type, requestId, configVersion,
-				Collections.unmodifiableMap(map));
+				Collections.unmodifiableMap(values));
 		synchronized (this.events) {
 			if (this.events.size() == this.capacity) {
 				this.events.removeFirst();
@@ -75,27 +78,28 @@
 		}
 	}
 
-	private static Object plain(Object value) {
+	private static Object toJsonValue(Object value) {
 		return (value instanceof Number || value instanceof Boolean) ? value : String.valueOf(value);
 	}
 
 	/**
-	 * Finds events, oldest first.
-	 * @param requestId only events of this request, or empty for all
-	 * @param configVersion only events of this configuration version, or empty for all
-	 * @return the matching events that are still kept
+	 * Finds stored events, oldest first.
+	 * @param requestId the id of the request to find events of, or empty for all events
+	 * @param configVersion the configuration version to find events of, or empty for all
+	 * events
+	 * @return the matching events that are still stored
 	 */
 	public List<TimelineEvent> find(Optional<String> requestId, OptionalLong configVersion) {
-		List<TimelineEvent> found = new ArrayList<>();
+		List<TimelineEvent> matching = new ArrayList<>();
 		synchronized (this.events) {
 			for (TimelineEvent event : this.events) {
 				if (requestId.map(event.requestId()::equals).orElse(true)
 						&& (configVersion.isEmpty() || configVersion.getAsLong() == event.configVersion())) {
-					found.add(event);
+					matching.add(event);
 				}
 			}
 		}
-		return found;
+		return matching;
 	}
 
 }
--- a/server/src/main/java/org/fulmargap/timeline/TimelineEvent.java
+++ b/server/src/main/java/org/fulmargap/timeline/TimelineEvent.java
@@ -7,12 +7,12 @@
 /**
  * One event of an entry VM.
  *
- * @param atMs when the event happened, milliseconds since the epoch
+ * @param atMs the time of the event, milliseconds since the epoch
  * @param vm the entry VM that recorded the event
  * @param type the type of the event
- * @param requestId the request that the event belongs to, or empty
+ * @param requestId the id of the request that the event belongs to, or empty
  * @param configVersion the configuration version that applied
- * @param fields further data
+ * @param fields further data by name
  */
 public record TimelineEvent(@JsonProperty("at_ms") long atMs, @JsonProperty("vm") String vm,
 		@JsonProperty("type") EventType type, @JsonProperty("request_id") String requestId,
@@ -20,7 +20,7 @@
 
 	/**
 	 * Writes the event as one line of key=value pairs.
-	 * @return the line without an end of line
+	 * @return the line without a line separator
 	 */
 	public String toLine() {
 		StringBuilder line = new StringBuilder("event=").append(this.type).append(" vm=").append(this.vm);
@@ -28,11 +28,11 @@
 			line.append(" request_id=").append(this.requestId);
 		}
 		line.append(" config_version=").append(this.configVersion);
-		this.fields.forEach((key, value) -> line.append(' ').append(key).append('=').append(quoted(value)));
+		this.fields.forEach((key, value) -> line.append(' ').append(key).append('=').append(quoteIfNeeded(value)));
 		return line.toString();
 	}
 
-	private static String quoted(Object value) {
+	private static String quoteIfNeeded(Object value) {
 		String text = String.valueOf(value);
 		if (!text.isEmpty() && text.chars().noneMatch((c) -> c <= ' ' || c == '"' || c == '=')) {
 			return text;
--- a/server/src/main/java/org/fulmargap/timeline/package-info.java
+++ b/server/src/main/java/org/fulmargap/timeline/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Events of an entry VM, kept in a bounded ring and written as log lines.
+ * Events of an entry VM, stored in a bounded buffer and written to the log.
  */
 package org.fulmargap.timeline;
