--- a/server/src/main/java/org/fulmargap/http/OperatorApi.java
+++ b/server/src/main/java/org/fulmargap/http/OperatorApi.java
@@ -148,11 +148,11 @@
 		ObjectNode node = Json.mapper().createObjectNode();
 		node.put("patch_id", patchId);
 		node.put("decided", decision.isPresent());
-		decision.ifPresent((present) -> {
-			node.put("accepted", present.accepted());
-			node.put("version", present.version());
-			node.put("refusal", present.refusal().map(Enum::name).orElse(null));
-			node.put("message", present.message());
+		decision.ifPresent((decided) -> {
+			node.put("accepted", decided.accepted());
+			node.put("version", decided.version());
+			node.put("refusal", decided.refusal().map(Enum::name).orElse(null));
+			node.put("message", decided.message());
 		});
 		return node;
 	}
--- a/server/src/main/java/org/fulmargap/pipeline/PipelineRequest.java
+++ b/server/src/main/java/org/fulmargap/pipeline/PipelineRequest.java
@@ -24,7 +24,7 @@
  * @param acceptedAtMs the time at which the request arrived, milliseconds since the epoch
  * @param fingerprint the SHA-256 digest of account, pipeline and body, in hexadecimal
  * @param idempotencyKey the idempotency key, if the caller sent one
- * @param claim the claim of a non-idempotent request
+ * @param claim the claim of a non-idempotent request, empty for an idempotent one
  * @param sink receives the tokens of the last stage
  * @param ownDomainOnly whether only endpoints of the entry VM's failure domain may be
  * used
