--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerCodec.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerCodec.java
@@ -19,12 +19,12 @@
 
 /**
  * Encodes messages between entry VMs in MessagePack: the number of the type, then the
- * fields in order. Times travel as distances from the present, because VMs share no
- * clock.
+ * fields in order. Times of work items are sent relative to the present, because the
+ * clocks of the VMs are not synchronized.
  */
 final class PeerCodec {
 
-	private static final int MAX_LIST = 100_000;
+	private static final int MAX_ENTRIES = 100_000;
 
 	private PeerCodec() {
 	}
@@ -45,9 +45,7 @@
 			out.packString(hello.address());
 		}
 		else if (message instanceof PeerMessage.Heartbeat heartbeat) {
-			out.packInt(Type.HEARTBEAT.ordinal())
-				.packBoolean(heartbeat.draining())
-				.packBoolean(heartbeat.receiverHeard());
+			out.packInt(Type.HEARTBEAT.ordinal()).packBoolean(heartbeat.draining()).packBoolean(heartbeat.receiving());
 			out.packArrayHeader(heartbeat.loads().size());
 			for (PeerMessage.Load load : heartbeat.loads()) {
 				out.packString(load.endpoint()).packInt(load.inFlight()).packLong(load.prefillTokens());
@@ -70,11 +68,11 @@
 			}
 		}
 		else {
-			writeShort(out, message);
+			writeOther(out, message);
 		}
 	}
 
-	private static void writeShort(MessageBufferPacker out, PeerMessage message) throws IOException {
+	private static void writeOther(MessageBufferPacker out, PeerMessage message) throws IOException {
 		if (message instanceof PeerMessage.Outcomes outcomes) {
 			out.packInt(Type.OUTCOMES.ordinal()).packArrayHeader(outcomes.outcomes().size());
 			for (WorkItemOutcome outcome : outcomes.outcomes()) {
@@ -89,7 +87,7 @@
 		}
 		else if (message instanceof PeerMessage.Release release) {
 			out.packInt(Type.RELEASE.ordinal()).packString(release.service()).packBoolean(release.evictable());
-			writeTexts(out, release.handles());
+			writeStrings(out, release.handles());
 		}
 		else if (message instanceof PeerMessage.RecordsRequest request) {
 			out.packInt(Type.RECORDS_REQUEST.ordinal()).packInt(request.topic().ordinal()).packLong(request.from());
@@ -198,14 +196,14 @@
 			.packInt(item.stage())
 			.packInt(item.index())
 			.packString(item.inputKey());
-		writeTexts(out, item.inputs());
+		writeStrings(out, item.inputs());
 		out.packString(item.inputDomain()).packInt(item.priority());
 		out.packLong(item.dueAtMs() - nowMs).packLong(item.expiresAtMs() - nowMs).packLong(item.resultBytes());
 	}
 
-	private static void writeTexts(MessageBufferPacker out, List<String> texts) throws IOException {
-		out.packArrayHeader(texts.size());
-		for (String text : texts) {
+	private static void writeStrings(MessageBufferPacker out, List<String> strings) throws IOException {
+		out.packArrayHeader(strings.size());
+		for (String text : strings) {
 			out.packString(text);
 		}
 	}
@@ -215,13 +213,13 @@
 	 * @param bytes the frame
 	 * @param nowMs the present time in milliseconds
 	 * @return the message
-	 * @throws IOException if the frame holds none
+	 * @throws IOException if the type is unknown or the frame is malformed
 	 */
 	static PeerMessage decode(byte[] bytes, long nowMs) throws IOException {
 		try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
 			int type = in.unpackInt();
 			if (type < 0 || type >= Type.values().length) {
-				throw new IOException("unknown type of message: " + type);
+				throw new IOException("unknown message type: " + type);
 			}
 			return Type.values()[type].read(in, nowMs);
 		}
@@ -232,12 +230,12 @@
 
 	private static PeerMessage.Heartbeat readHeartbeat(MessageUnpacker in) throws IOException {
 		boolean draining = in.unpackBoolean();
-		boolean receiverHeard = in.unpackBoolean();
+		boolean receiving = in.unpackBoolean();
 		List<PeerMessage.Load> loads = new ArrayList<>();
 		for (int i = readSize(in); i > 0; i--) {
 			loads.add(new PeerMessage.Load(in.unpackString(), in.unpackInt(), in.unpackLong()));
 		}
-		return new PeerMessage.Heartbeat(draining, receiverHeard, loads, readAdmitted(in), readAvailable(in),
+		return new PeerMessage.Heartbeat(draining, receiving, loads, readAdmitted(in), readAvailable(in),
 				readOffsets(in));
 	}
 
@@ -256,7 +254,7 @@
 		List<WorkItem> items = new ArrayList<>();
 		for (int i = readSize(in); i > 0; i--) {
 			items.add(new WorkItem(in.unpackLong(), in.unpackString(), in.unpackInt(), in.unpackInt(),
-					in.unpackString(), readTexts(in), in.unpackString(), in.unpackInt(), nowMs + in.unpackLong(),
+					in.unpackString(), readStrings(in), in.unpackString(), in.unpackInt(), nowMs + in.unpackLong(),
 					nowMs + in.unpackLong(), in.unpackLong()));
 		}
 		return new PeerMessage.WorkItems(service, items);
@@ -271,40 +269,41 @@
 	}
 
 	private static WorkItemOutcome.Status readStatus(MessageUnpacker in) throws IOException {
-		WorkItemOutcome.Status[] known = WorkItemOutcome.Status.values();
+		WorkItemOutcome.Status[] statuses = WorkItemOutcome.Status.values();
 		int ordinal = in.unpackInt();
-		if (ordinal < 0 || ordinal >= known.length) {
-			throw new IOException("a status of number " + ordinal);
+		if (ordinal < 0 || ordinal >= statuses.length) {
+			throw new IOException("unknown status: " + ordinal);
 		}
-		return known[ordinal];
+		return statuses[ordinal];
 	}
 
-	private static List<String> readTexts(MessageUnpacker in) throws IOException {
-		List<String> texts = new ArrayList<>();
+	private static List<String> readStrings(MessageUnpacker in) throws IOException {
+		List<String> strings = new ArrayList<>();
 		for (int i = readSize(in); i > 0; i--) {
-			texts.add(in.unpackString());
+			strings.add(in.unpackString());
 		}
-		return texts;
+		return strings;
 	}
 
 	private static int readMapSize(MessageUnpacker in) throws IOException {
 		int size = in.unpackMapHeader();
-		if (size > MAX_LIST) {
-			throw new IOException("a map of " + size + " entries");
+		if (size > MAX_ENTRIES) {
+			throw new IOException("map too long: " + size + " entries");
 		}
 		return size;
 	}
 
 	private static int readSize(MessageUnpacker in) throws IOException {
 		int size = in.unpackArrayHeader();
-		if (size > MAX_LIST) {
-			throw new IOException("a list of " + size + " entries");
+		if (size > MAX_ENTRIES) {
+			throw new IOException("list too long: " + size + " entries");
 		}
 		return size;
 	}
 
 	/**
-	 * The types of messages; the order is part of the protocol.
+	 * The message types. The position of a constant is its number on the wire, so the
+	 * order must not change.
 	 */
 	private enum Type {
 
@@ -355,7 +354,7 @@
 			PeerMessage read(MessageUnpacker in, long nowMs) throws IOException {
 				String service = in.unpackString();
 				boolean evictable = in.unpackBoolean();
-				return new PeerMessage.Release(service, readTexts(in), evictable);
+				return new PeerMessage.Release(service, readStrings(in), evictable);
 			}
 		},
 
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerMessage.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerMessage.java
@@ -10,7 +10,7 @@
 import org.fulmargap.platform.StoreTopic;
 
 /**
- * What entry VMs tell each other.
+ * A message between entry VMs.
  */
 public sealed interface PeerMessage {
 
@@ -19,26 +19,27 @@
 	 *
 	 * @param vm the name of the sender
 	 * @param startedAtMs when it started, in milliseconds since the epoch
-	 * @param address where it listens, as {@code IP:port}
+	 * @param address the address that it listens on, as {@code IP:port}
 	 */
 	record Hello(String vm, long startedAtMs, String address) implements PeerMessage {
 	}
 
 	/**
-	 * The sender is alive and has requests in flight.
+	 * Reports that the sender is alive, its load and its read positions in the store.
 	 *
-	 * @param draining whether the sender is about to leave
-	 * @param receiverHeard whether the sender hears the receiver; a connection can go
-	 * silent without being closed, which only the other end notices
-	 * @param loads what it has in flight, only for endpoints with load
-	 * @param admittedItems the work items that its requests still need, by rank, by
-	 * service
-	 * @param availableEndpoints the endpoints that work, of the services that the sender
-	 * makes calls to, in units of endpoints of usual speed
-	 * @param nextOffsets how far it knows each topic of the store, in the order of the
-	 * topics
+	 * @param draining whether the sender is shutting down
+	 * @param receiving whether the sender currently receives messages from the receiver;
+	 * a connection can stop delivering without being closed, which only its receiving end
+	 * notices
+	 * @param loads the requests in flight, only for endpoints with some
+	 * @param admittedItems the numbers of work items that its requests still need, by
+	 * rank, by service
+	 * @param availableEndpoints the available endpoints of the services that the sender
+	 * coordinates, in units of endpoints of usual speed
+	 * @param nextOffsets the next offset of each topic of the store, in the order of the
+	 * topics; -1 for a topic that was not read
 	 */
-	record Heartbeat(boolean draining, boolean receiverHeard, List<Load> loads, Map<String, int[]> admittedItems,
+	record Heartbeat(boolean draining, boolean receiving, List<Load> loads, Map<String, int[]> admittedItems,
 			Map<String, Double> availableEndpoints, List<Long> nextOffsets) implements PeerMessage {
 	}
 
@@ -47,13 +48,13 @@
 	 *
 	 * @param endpoint the name of the endpoint
 	 * @param inFlight the number of requests
-	 * @param prefillTokens the prompt tokens that it has not read yet
+	 * @param prefillTokens the prompt tokens that the endpoint has not processed yet
 	 */
 	record Load(String endpoint, int inFlight, long prefillTokens) {
 	}
 
 	/**
-	 * Asks for records of the store that the sender can't read there.
+	 * Requests records of the store that the sender has not received from the store.
 	 *
 	 * @param topic the topic
 	 * @param from the first offset; a negative one for the newest record of each key
@@ -62,7 +63,7 @@
 	}
 
 	/**
-	 * Records of the store.
+	 * The records that answer a {@link RecordsRequest}.
 	 *
 	 * @param topic the topic
 	 * @param page the records
@@ -71,7 +72,7 @@
 	}
 
 	/**
-	 * A prompt was sent to an engine, which will keep its parts.
+	 * Reports that a prompt was sent to an engine, which caches its parts.
 	 *
 	 * @param endpoint the name of the engine
 	 * @param prompt the prompt
@@ -80,16 +81,17 @@
 	}
 
 	/**
-	 * Work items for the VM that makes the calls of a service.
+	 * Work items for the coordinator of a service.
 	 *
-	 * @param service the service
-	 * @param items the work items, with times in the receiver's clock
+	 * @param service the name of the service
+	 * @param items the work items, with times in the local clock; the codec converts them
+	 * to the receiver's clock
 	 */
 	record WorkItems(String service, List<WorkItem> items) implements PeerMessage {
 	}
 
 	/**
-	 * What came of work items.
+	 * Reports the outcomes of work items.
 	 *
 	 * @param outcomes the outcomes
 	 */
@@ -97,25 +99,26 @@
 	}
 
 	/**
-	 * A work item is no longer needed.
+	 * Cancels a work item.
 	 *
-	 * @param itemId the number of the work item
+	 * @param itemId the id of the work item at the sender
 	 */
 	record Cancellation(long itemId) implements PeerMessage {
 	}
 
 	/**
-	 * Results are no longer needed.
+	 * Releases results that are no longer needed.
 	 *
-	 * @param service the service that made them
+	 * @param service the name of the service that made them
 	 * @param handles the names of the results
-	 * @param evictable whether they should be kept as long as there is room for them
+	 * @param evictable whether they are kept until their space is needed, instead of
+	 * being freed at once
 	 */
 	record Release(String service, List<String> handles, boolean evictable) implements PeerMessage {
 	}
 
 	/**
-	 * A request crashed an endpoint.
+	 * Reports that a request crashed an endpoint.
 	 *
 	 * @param fingerprint the fingerprint of the request
 	 * @param endpoint the name of the endpoint
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerNetwork.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerNetwork.java
@@ -25,24 +25,24 @@
 import org.fulmargap.entry.EventLog;
 
 /**
- * The links to the other entry VMs. Each VM sends on connections that it opened and only
- * reads those that it accepted. Confined to its event loop.
+ * The connections to the other entry VMs. Each VM sends only on connections that it
+ * opened and reads only from those that it accepted. Confined to its event loop.
  */
 public final class PeerNetwork {
 
-	/** How often a heartbeat goes to each peer, in milliseconds. */
+	/** The interval of heartbeats to each peer, in milliseconds. */
 	private static final long HEARTBEAT_MS = 250;
 
-	/** A peer that isn't heard for this time is lost, in milliseconds. */
+	/** A peer counts as lost after this time without a message, in milliseconds. */
 	private static final long LOST_AFTER_MS = 900;
 
-	/** A peer that was heard within this time counts in shared limits, in ms. */
+	/** A peer counts in shared limits until this long after its last message, in ms. */
 	private static final long COUNTED_MS = 20_000;
 
-	/** How long to wait before the next attempt to connect, in milliseconds. */
+	/** The first delay before a connection is retried, in milliseconds; it doubles. */
 	private static final long RECONNECT_MS = 400;
 
-	/** The longest wait before the next attempt to connect, in milliseconds. */
+	/** The longest delay before a connection is retried, in milliseconds. */
 	private static final long MAX_RECONNECT_MS = 5_000;
 
 	private static final int CONNECT_TIMEOUT_MS = 500;
@@ -51,7 +51,7 @@
 
 	private static final int LENGTH_BYTES = 4;
 
-	/** Unsent bytes beyond which a peer is taken for stuck. */
+	/** Messages to a peer are dropped while more bytes than this are unsent. */
 	private static final int MAX_UNSENT_BYTES = 1 << 20;
 
 	private final String ownName;
@@ -87,10 +87,10 @@
 	}
 
 	/**
-	 * Begins to listen and to send heartbeats.
-	 * @param ip the own address
-	 * @param port the port
-	 * @param newListener hears the peers
+	 * Starts to listen and to send heartbeats.
+	 * @param ip the IP address to listen on
+	 * @param port the port to listen on
+	 * @param newListener handles messages and supplies the content of heartbeats
 	 * @throws InterruptedException if the thread is interrupted meanwhile
 	 */
 	public void start(String ip, int port, PeerListener newListener) throws InterruptedException {
@@ -116,7 +116,8 @@
 	}
 
 	/**
-	 * Takes over the address of a VM.
+	 * Adds a VM or updates its address, and connects to it if the address is new. The
+	 * name of this VM is ignored.
 	 * @param vm the name of the VM
 	 * @param address its address as {@code IP:port}
 	 */
@@ -134,7 +135,7 @@
 	}
 
 	/**
-	 * Forgets a VM that has left.
+	 * Removes a VM that has left and closes the connection to it.
 	 * @param vm the name of the VM
 	 */
 	public void removePeer(String vm) {
@@ -142,12 +143,13 @@
 		if (peer != null) {
 			peer.removed = true;
 			peer.disconnect();
-			peer.lose("left");
+			peer.markLost("left");
 		}
 	}
 
 	/**
-	 * Tells the peers that this VM is about to leave.
+	 * Reports to the peers that this VM is shutting down; its services get other
+	 * coordinators.
 	 */
 	public void drain() {
 		this.draining = true;
@@ -163,24 +165,26 @@
 	}
 
 	/**
-	 * Returns the number of entry VMs over which shared limits are divided: this one and
-	 * all that were heard lately.
+	 * Returns the number of entry VMs over which shared limits are divided: this one, the
+	 * peers with a message in the last 20 s, and those that have not sent any yet.
 	 * @return the number
 	 */
 	public int vmCount() {
 		long nowMs = this.clockMs.getAsLong();
 		int count = 1;
 		for (Peer peer : this.peers.values()) {
-			boolean counted = peer.heardAtMs == Long.MIN_VALUE || nowMs - peer.heardAtMs < COUNTED_MS;
+			boolean counted = peer.lastContactAtMs == Long.MIN_VALUE || nowMs - peer.lastContactAtMs < COUNTED_MS;
 			count += (counted) ? 1 : 0;
 		}
 		return count;
 	}
 
 	/**
-	 * Returns the VM that makes the calls of a service, in the view of this VM.
+	 * Returns the coordinator of a service, as seen by this VM: the one with the highest
+	 * hash of service and name among this VM and the connected peers that are not
+	 * draining.
 	 * @param service the name of the service
-	 * @return the name of the VM
+	 * @return the name of the coordinator
 	 */
 	public String coordinatorOf(String service) {
 		String best = this.ownName;
@@ -206,7 +210,8 @@
 	 * Sends a message to a peer.
 	 * @param vm the name of the peer
 	 * @param message the message
-	 * @return whether it could be handed to a connection
+	 * @return {@code false} if it was dropped because there is no connection or too many
+	 * bytes are unsent; {@code true} does not mean that it was received
 	 */
 	public boolean send(String vm, PeerMessage message) {
 		Peer peer = this.peers.get(vm);
@@ -214,7 +219,7 @@
 	}
 
 	/**
-	 * Sends a message to all peers that can be reached.
+	 * Sends a message to all connected peers.
 	 * @param message the message
 	 */
 	public void sendAll(PeerMessage message) {
@@ -228,17 +233,19 @@
 
 	private void tick() {
 		long nowMs = this.clockMs.getAsLong();
-		boolean slept = nowMs - this.lastTickAtMs > LOST_AFTER_MS;
+		boolean paused = nowMs - this.lastTickAtMs > LOST_AFTER_MS;
 		this.lastTickAtMs = nowMs;
-		// With many peers, most of the work of a heartbeat is its encoding.
+		// With many peers, encoding is most of the cost of a heartbeat, so it is done
+		// once.
 		HeartbeatContent content = HeartbeatContent.of(this.listener);
-		byte[] toHeard = encode(content.heartbeat(this.draining, true));
-		byte[] toUnheard = encode(content.heartbeat(this.draining, false));
+		byte[] toAlive = encode(content.heartbeat(this.draining, true));
+		byte[] toLost = encode(content.heartbeat(this.draining, false));
 		for (Peer peer : List.copyOf(this.peers.values())) {
-			peer.send((peer.alive) ? toHeard : toUnheard);
-			// After a pause of this process, what the peers sent meanwhile is read first.
-			if (!slept && peer.alive && nowMs - peer.heardAtMs > LOST_AFTER_MS) {
-				peer.lose("silent");
+			peer.send((peer.alive) ? toAlive : toLost);
+			// After a pause of this process, messages that arrived meanwhile are read
+			// first.
+			if (!paused && peer.alive && nowMs - peer.lastContactAtMs > LOST_AFTER_MS) {
+				peer.markLost("silent");
 				peer.disconnect();
 				peer.connect();
 			}
@@ -250,32 +257,33 @@
 		if (message instanceof PeerMessage.Hello hello) {
 			receiver.peer = this.peers.computeIfAbsent(hello.vm(), (name) -> new Peer(name));
 			receiver.peer.receiver = receiver;
-			receiver.peer.greeted(hello, nowMs);
+			receiver.peer.helloReceived(hello, nowMs);
 			return;
 		}
 		Peer peer = receiver.peer;
 		if (peer == null) {
 			return;
 		}
-		peer.heard(nowMs);
+		peer.messageReceived(nowMs);
 		if (message instanceof PeerMessage.Heartbeat heartbeat) {
-			peer.heard(heartbeat, nowMs);
+			peer.heartbeatReceived(heartbeat, nowMs);
 		}
 		this.listener.received(peer.name, message);
 	}
 
 	/**
-	 * What the heartbeats to all peers have in common.
+	 * The content that the heartbeats to all peers have in common.
 	 */
 	private record HeartbeatContent(List<PeerMessage.Load> loads, Map<String, int[]> admittedItems,
 			Map<String, Double> availableEndpoints, List<Long> nextOffsets) {
 
-		private static HeartbeatContent of(PeerListener own) {
-			return new HeartbeatContent(own.loads(), own.admittedItems(), own.availableEndpoints(), own.nextOffsets());
+		private static HeartbeatContent of(PeerListener listener) {
+			return new HeartbeatContent(listener.loads(), listener.admittedItems(), listener.availableEndpoints(),
+					listener.nextOffsets());
 		}
 
-		private PeerMessage.Heartbeat heartbeat(boolean draining, boolean receiverHeard) {
-			return new PeerMessage.Heartbeat(draining, receiverHeard, this.loads, this.admittedItems,
+		private PeerMessage.Heartbeat heartbeat(boolean draining, boolean receiving) {
+			return new PeerMessage.Heartbeat(draining, receiving, this.loads, this.admittedItems,
 					this.availableEndpoints, this.nextOffsets);
 		}
 
@@ -296,7 +304,7 @@
 
 		private long reconnectMs = RECONNECT_MS;
 
-		private long heardAtMs = Long.MIN_VALUE;
+		private long lastContactAtMs = Long.MIN_VALUE;
 
 		private long peerStartedAtMs;
 
@@ -361,7 +369,7 @@
 		private void disconnected(Channel closed) {
 			if (closed == this.channel) {
 				this.channel = null;
-				lose("disconnected");
+				markLost("disconnected");
 				reconnectLater();
 			}
 		}
@@ -389,47 +397,48 @@
 			return true;
 		}
 
-		private void greeted(PeerMessage.Hello hello, long nowMs) {
+		private void helloReceived(PeerMessage.Hello hello, long nowMs) {
 			if (this.peerStartedAtMs != hello.startedAtMs()) {
-				lose("restarted");
+				markLost("restarted");
 				this.draining = false;
 			}
 			this.peerStartedAtMs = hello.startedAtMs();
 			if (this.address == null) {
 				this.address = hello.address();
 			}
-			heard(nowMs);
+			messageReceived(nowMs);
 			this.reconnectMs = RECONNECT_MS;
 			connect();
 		}
 
-		private void heard(long nowMs) {
-			this.heardAtMs = nowMs;
+		private void messageReceived(long nowMs) {
+			this.lastContactAtMs = nowMs;
 			if (!this.alive) {
 				this.alive = true;
 				EventLog.state("peer_heard").with("peer", this.name).write();
 			}
 		}
 
-		private void heard(PeerMessage.Heartbeat heartbeat, long nowMs) {
+		private void heartbeatReceived(PeerMessage.Heartbeat heartbeat, long nowMs) {
 			if (heartbeat.draining() && !this.draining) {
 				this.draining = true;
 				EventLog.state("peer_draining").with("peer", this.name).write();
 			}
-			boolean unheard = !heartbeat.receiverHeard() && isConnected() && nowMs - this.connectedAtMs > LOST_AFTER_MS;
-			if (unheard) {
-				lose("deaf");
+			boolean notReceiving = !heartbeat.receiving() && isConnected()
+					&& nowMs - this.connectedAtMs > LOST_AFTER_MS;
+			if (notReceiving) {
+				markLost("deaf");
 				disconnect();
 				connect();
 			}
 		}
 
-		private void lose(String reason) {
+		private void markLost(String reason) {
 			if (this.alive) {
 				EventLog.state("peer_lost")
 					.with("peer", this.name)
 					.with("reason", reason)
-					.with("silent_ms", PeerNetwork.this.clockMs.getAsLong() - this.heardAtMs)
+					.with("silent_ms", PeerNetwork.this.clockMs.getAsLong() - this.lastContactAtMs)
 					.write();
 			}
 			this.alive = false;
@@ -439,7 +448,7 @@
 	}
 
 	/**
-	 * The sending end of a connection.
+	 * Handles the sending end of a connection.
 	 */
 	private static final class Sender extends SimpleChannelInboundHandler<ByteBuf> {
 
@@ -472,7 +481,7 @@
 	}
 
 	/**
-	 * The receiving end of a connection.
+	 * Handles the receiving end of a connection.
 	 */
 	private final class Receiver extends SimpleChannelInboundHandler<ByteBuf> {
 
@@ -487,7 +496,7 @@
 		public void channelInactive(ChannelHandlerContext context) {
 			if (this.peer != null && this.peer.receiver == this) {
 				this.peer.receiver = null;
-				this.peer.lose("closed");
+				this.peer.markLost("closed");
 			}
 		}
 
--- a/entry/src/main/java/org/fulmargap/entry/peer/package-info.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Links between entry VMs.
+ * Connections and messages between entry VMs.
  */
 package org.fulmargap.entry.peer;
--- a/entry/src/test/java/org/fulmargap/entry/peer/PeerCodecTests.java
+++ b/entry/src/test/java/org/fulmargap/entry/peer/PeerCodecTests.java
@@ -22,7 +22,7 @@
 class PeerCodecTests {
 
 	@Test
-	void messagesArriveAsTheyWereSent() throws IOException {
+	void decodedMessagesEqualTheEncodedOnes() throws IOException {
 		List<PeerMessage> messages = List.of(new PeerMessage.Hello("vm-1", 5, "10.0.0.1:7"),
 				new PeerMessage.RecordsRequest(StoreTopic.ENDPOINTS, -1),
 				new PeerMessage.PromptSent("engine", new Prompt(10, 2, List.of(new PromptPart("aa", 6)))),
@@ -35,20 +35,20 @@
 	}
 
 	@Test
-	void aHeartbeatCarriesLoadsAndAdmittedItems() throws IOException {
+	void heartbeatsAreDecodedWithAllFields() throws IOException {
 		PeerMessage.Heartbeat sent = new PeerMessage.Heartbeat(true, false, List.of(new PeerMessage.Load("e", 2, 900)),
 				Map.of("stage", new int[] { 1, 0, 2, 0 }), Map.of("stage", 2.5), List.of(4L, -1L));
 		PeerMessage.Heartbeat received = (PeerMessage.Heartbeat) PeerCodec.decode(PeerCodec.encode(sent, 0), 0);
 		assertThat(received.loads()).isEqualTo(sent.loads());
 		assertThat(received.availableEndpoints()).isEqualTo(sent.availableEndpoints());
 		assertThat(received.draining()).isTrue();
-		assertThat(received.receiverHeard()).isFalse();
+		assertThat(received.receiving()).isFalse();
 		assertThat(received.nextOffsets()).containsExactly(4L, -1L);
 		assertThat(received.admittedItems().get("stage")).containsExactly(1, 0, 2, 0);
 	}
 
 	@Test
-	void recordsOfTheStoreAreRelayed() throws IOException {
+	void recordsAreDecodedWithTopicAndOffset() throws IOException {
 		StorePage page = new StorePage(List.of(new KeyedRecord("config", new byte[] { 1, 2 }, 6)), 7, true);
 		PeerMessage.RecordsReply received = (PeerMessage.RecordsReply) PeerCodec
 			.decode(PeerCodec.encode(new PeerMessage.RecordsReply(StoreTopic.OPERATOR, page), 0), 0);
@@ -59,7 +59,7 @@
 	}
 
 	@Test
-	void timesAreMovedIntoTheClockOfTheReceiver() throws IOException {
+	void timesAreConvertedToTheClockOfTheReceiver() throws IOException {
 		WorkItem item = new WorkItem(1, "id", 0, 2, "", List.of("h"), "a", 1, 1_500, 3_000, 60);
 		PeerMessage.WorkItems received = (PeerMessage.WorkItems) PeerCodec
 			.decode(PeerCodec.encode(new PeerMessage.WorkItems("stage", List.of(item)), 1_000), 51_000);
@@ -68,7 +68,7 @@
 	}
 
 	@Test
-	void bytesThatAreNoMessageAreRefused() {
+	void malformedFramesAreRefused() {
 		for (byte[] bytes : List.of(new byte[0], new byte[] { 99 }, new byte[] { 3, 1 }, new byte[] { (byte) 0xc1 })) {
 			assertThatExceptionOfType(IOException.class).isThrownBy(() -> PeerCodec.decode(bytes, 0));
 		}
