--- a/entry/src/main/java/org/fulmargap/entry/EntryMain.java
+++ b/entry/src/main/java/org/fulmargap/entry/EntryMain.java
@@ -12,7 +12,7 @@
  */
 public final class EntryMain {
 
-	/** The port of the metrics, as in the deploy file. */
+	/** The port of the metrics, as declared in deploy/system.toml. */
 	private static final int METRICS_PORT = 9_464;
 
 	private static final int EXIT_BAD_SETTINGS = 2;
@@ -21,8 +21,9 @@
 	}
 
 	/**
-	 * Starts the process.
-	 * @param args none
+	 * Starts the process and blocks until it ends. Exits with code 2 if the settings
+	 * can't be read.
+	 * @param args not used
 	 * @throws InterruptedException if the thread is interrupted meanwhile
 	 */
 	public static void main(String[] args) throws InterruptedException {
@@ -44,8 +45,9 @@
 		Thread.currentThread().join();
 	}
 
-	// Addresses and bounds are in force from the start of a process to its end; a changed
-	// file is checked now and applies from the next start.
+	// Settings stay in force for the life of a process. A changed file is only checked
+	// and
+	// logged; it takes effect at the next start.
 	private static void reload(Path file, NodeSettings inForce) {
 		try {
 			boolean changed = !NodeSettingsFile.read(file).equals(inForce);
--- a/entry/src/main/java/org/fulmargap/entry/EntryMetrics.java
+++ b/entry/src/main/java/org/fulmargap/entry/EntryMetrics.java
@@ -10,7 +10,8 @@
 import com.codahale.metrics.Timer;
 
 /**
- * Counters and latencies of this process, shown as text.
+ * Counters of this process since its start and latencies of the last minute. Safe for use
+ * by several threads.
  */
 public final class EntryMetrics {
 
@@ -23,7 +24,7 @@
 	private final MetricRegistry registry = new MetricRegistry();
 
 	/**
-	 * Counts an event.
+	 * Adds one to a counter.
 	 * @param name the name of the counter
 	 */
 	public void count(String name) {
@@ -31,9 +32,9 @@
 	}
 
 	/**
-	 * Records how long something took.
-	 * @param name the name of the histogram
-	 * @param durationMs the time in milliseconds
+	 * Adds a duration to a timer.
+	 * @param name the name of the timer
+	 * @param durationMs the duration in milliseconds
 	 */
 	public void time(String name, long durationMs) {
 		this.registry
@@ -42,26 +43,26 @@
 	}
 
 	/**
-	 * Returns all values as lines of name and value.
-	 * @return the text
+	 * Returns all counters and timers in the text format of Prometheus.
+	 * @return one appendLine of name and value for each
 	 */
 	public String text() {
 		StringBuilder text = new StringBuilder();
 		for (Map.Entry<String, Counter> counter : this.registry.getCounters().entrySet()) {
-			line(text, counter.getKey() + "_total", counter.getValue().getCount());
+			appendLine(text, counter.getKey() + "_total", counter.getValue().getCount());
 		}
 		for (Map.Entry<String, Timer> timer : this.registry.getTimers().entrySet()) {
 			Snapshot snapshot = timer.getValue().getSnapshot();
 			for (double quantile : QUANTILES) {
-				line(text, timer.getKey() + "_ms{quantile=\"" + quantile + "\"}",
+				appendLine(text, timer.getKey() + "_ms{quantile=\"" + quantile + "\"}",
 						snapshot.getValue(quantile) / NANOS_PER_MS);
 			}
-			line(text, timer.getKey() + "_count", timer.getValue().getCount());
+			appendLine(text, timer.getKey() + "_count", timer.getValue().getCount());
 		}
 		return text.toString();
 	}
 
-	private static void line(StringBuilder text, String name, Object value) {
+	private static void appendLine(StringBuilder text, String name, Object value) {
 		text.append("fulmargap_").append(name).append(' ').append(value).append('\n');
 	}
 
--- a/entry/src/main/java/org/fulmargap/entry/EntryVm.java
+++ b/entry/src/main/java/org/fulmargap/entry/EntryVm.java
@@ -32,22 +32,28 @@
 import org.fulmargap.routing.CrashQuarantine;
 
 /**
- * One entry VM on the users' platform. Everything but reading the store runs on one event
- * loop, because these VMs have less than one core.
+ * One entry VM on the users' platform. All work except access to the store runs on one
+ * event loop, because these VMs have less than one core.
  */
 public final class EntryVm implements AutoCloseable, PeerListener {
 
 	private static final int MAX_FINGERPRINTS = 1_000;
 
-	/** Reads of one path by one account are alike, and a cut breaks several at once. */
+	/**
+	 * The number of crashed endpoints from which on a request is refused. Reads of one
+	 * path by one account share a fingerprint, and a network failure can break the
+	 * connections of several of them at once.
+	 */
 	private static final int CRASHES_TO_QUARANTINE = 3;
 
 	private static final long NANOS_PER_MS = 1_000_000;
 
-	/** How long new requests are still taken after SIGTERM, in milliseconds. */
+	/** How long new requests are still accepted after SIGTERM, in milliseconds. */
 	private static final long NOTICE_MS = 2_400;
 
-	/** The last part of the time to stop, which is left for the exit, in milliseconds. */
+	/**
+	 * The time between the end of the drain and SIGKILL, for the exit, in milliseconds.
+	 */
 	private static final long EXIT_MARGIN_MS = 700;
 
 	private static final long POLL_MS = 50;
@@ -89,9 +95,9 @@
 	private final StoreWatch watch;
 
 	/**
-	 * Creates an entry VM that serves nothing yet.
-	 * @param settings what the platform says of it
-	 * @param metricsPort where operators read its metrics
+	 * Creates an entry VM that does not listen yet.
+	 * @param settings the settings from the platform
+	 * @param metricsPort the port that serves the metrics
 	 */
 	public EntryVm(NodeSettings settings, int metricsPort) {
 		this.settings = settings;
@@ -113,7 +119,7 @@
 	}
 
 	/**
-	 * Begins to serve.
+	 * Starts to listen for peers, readiness probes and callers, and to read the store.
 	 * @throws InterruptedException if the thread is interrupted meanwhile
 	 */
 	public void start() throws InterruptedException {
@@ -132,14 +138,16 @@
 	}
 
 	/**
-	 * Finishes what is under way and ends: called when the platform stops the process.
+	 * Drains this VM: new requests are accepted for a notice period and refused after it.
+	 * Returns when no request and no work item is in flight, or shortly before the
+	 * platform kills the process. Further calls return at once.
 	 * @throws InterruptedException if the thread is interrupted meanwhile
 	 */
 	public void drain() throws InterruptedException {
 		if (!this.draining.compareAndSet(false, true)) {
 			return;
 		}
-		long beganAtMs = this.clockMs.getAsLong();
+		long startedAtMs = this.clockMs.getAsLong();
 		EventLog.state("draining").with("vm", this.settings.vm()).write();
 		this.loop.execute(() -> {
 			this.callers.drain();
@@ -152,7 +160,7 @@
 		});
 		long limitMs = this.settings.graceMs() - EXIT_MARGIN_MS;
 		boolean busy = true;
-		while (busy && this.clockMs.getAsLong() - beganAtMs < limitMs) {
+		while (busy && this.clockMs.getAsLong() - startedAtMs < limitMs) {
 			Thread.sleep(POLL_MS);
 			busy = busyConnections() > 0 || pendingItems() > 0;
 		}
@@ -175,10 +183,10 @@
 	public void received(String peer, PeerMessage message) {
 		long nowMs = this.clockMs.getAsLong();
 		if (message instanceof PeerMessage.Heartbeat heartbeat) {
-			recordReport(peer, heartbeat, nowMs);
+			applyHeartbeat(peer, heartbeat, nowMs);
 		}
 		else if (message instanceof PeerMessage.PromptSent sent) {
-			this.view.directory().find(sent.endpoint()).ifPresent((endpoint) -> promptSent(endpoint, sent));
+			this.view.directory().find(sent.endpoint()).ifPresent((endpoint) -> recordPeerPrompt(endpoint, sent));
 		}
 		else if (message instanceof PeerMessage.WorkItems items) {
 			this.stages.receive(peer, items);
@@ -209,10 +217,10 @@
 		}
 	}
 
-	private void recordReport(String peer, PeerMessage.Heartbeat heartbeat, long nowMs) {
+	private void applyHeartbeat(String peer, PeerMessage.Heartbeat heartbeat, long nowMs) {
 		this.admittedWork.recordReport(peer, heartbeat.admittedItems(), nowMs);
 		this.endpointReports.recordReport(peer, heartbeat.availableEndpoints(), nowMs);
-		this.watch.peerKnows(peer, heartbeat.nextOffsets(), nowMs);
+		this.watch.compareOffsets(peer, heartbeat.nextOffsets(), nowMs);
 		for (Endpoint endpoint : this.view.directory().all()) {
 			endpoint.recordReport(peer, new PeerLoad(0, 0, nowMs));
 		}
@@ -224,7 +232,7 @@
 		}
 	}
 
-	private void promptSent(Endpoint endpoint, PeerMessage.PromptSent sent) {
+	private void recordPeerPrompt(Endpoint endpoint, PeerMessage.PromptSent sent) {
 		this.view.catalog()
 			.map((catalog) -> catalog.services().get(endpoint.record().service()))
 			.filter((service) -> service.engine() != null)
--- a/entry/src/main/java/org/fulmargap/entry/EventLog.java
+++ b/entry/src/main/java/org/fulmargap/entry/EventLog.java
@@ -4,7 +4,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes one line of key=value pairs for each decision and each change of belief.
+ * Writes log lines of key=value pairs.
  */
 public final class EventLog {
 
@@ -14,10 +14,10 @@
 	}
 
 	/**
-	 * Begins a line about a request. Such lines are dropped first when there are too
-	 * many.
+	 * Starts a line about a request. It is logged at level INFO, which is dropped first
+	 * when the log can't keep up.
 	 * @param event the name of the event
-	 * @param requestId the identity of the request
+	 * @param requestId the id of the request
 	 * @return the line
 	 */
 	public static Line request(String event, String requestId) {
@@ -25,8 +25,8 @@
 	}
 
 	/**
-	 * Begins a line about a call that serves several requests. Such lines are dropped
-	 * first when there are too many.
+	 * Starts a line about a call that serves several requests. It is logged at level
+	 * INFO, which is dropped first when the log can't keep up.
 	 * @param event the name of the event
 	 * @return the line
 	 */
@@ -35,7 +35,8 @@
 	}
 
 	/**
-	 * Begins a line about a change of belief, a start, a stop or a dependency.
+	 * Starts a line about a change of state of this process, a peer, an endpoint or the
+	 * store. It is logged at level WARN.
 	 * @param event the name of the event
 	 * @return the line
 	 */
@@ -58,7 +59,8 @@
 		}
 
 		/**
-		 * Adds a field.
+		 * Adds a field. A value with spaces or line breaks is put in double quotes; its
+		 * line breaks become spaces and its double quotes single ones.
 		 * @param key the name of the field
 		 * @param value its value
 		 * @return this line
@@ -76,7 +78,7 @@
 		}
 
 		/**
-		 * Writes the line, or drops it if the log can't keep up.
+		 * Writes the line without blocking, or drops it if the log can't keep up.
 		 */
 		public void write() {
 			if (this.important) {
--- a/entry/src/main/java/org/fulmargap/entry/ReadinessServer.java
+++ b/entry/src/main/java/org/fulmargap/entry/ReadinessServer.java
@@ -24,7 +24,8 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * Tells the platform whether this VM is ready, and operators its metrics.
+ * Answers the platform's readiness probes with status 200 or 503, and requests for
+ * {@code /metrics} with the metrics.
  */
 final class ReadinessServer {
 
@@ -61,11 +62,11 @@
 
 		@Override
 		protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-			boolean asksMetrics = request.uri().startsWith("/metrics");
-			boolean good = asksMetrics || ReadinessServer.this.ready.getAsBoolean();
-			String text = (asksMetrics) ? ReadinessServer.this.metrics.text() : "";
+			boolean isMetrics = request.uri().startsWith("/metrics");
+			boolean ok = isMetrics || ReadinessServer.this.ready.getAsBoolean();
+			String text = (isMetrics) ? ReadinessServer.this.metrics.text() : "";
 			DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-					(good) ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+					(ok) ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
 					Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
 			response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
 			boolean keepAlive = HttpUtil.isKeepAlive(request);
--- a/entry/src/main/java/org/fulmargap/entry/StoreTail.java
+++ b/entry/src/main/java/org/fulmargap/entry/StoreTail.java
@@ -9,16 +9,17 @@
 import org.fulmargap.platform.StoreTopic;
 
 /**
- * Follows one topic of the platform's store on a thread of its own.
+ * Reads one topic of the platform's store by long polls on a thread of its own, until the
+ * thread is interrupted.
  */
 final class StoreTail implements Runnable {
 
-	/** How long a read waits for records, in milliseconds. */
+	/** How long the store holds a read open for new records, in milliseconds. */
 	private static final long WAIT_MS = 2_000;
 
-	private static final long FIRST_PAUSE_MS = 100;
+	private static final long FIRST_RETRY_DELAY_MS = 100;
 
-	private static final long MAX_PAUSE_MS = 800;
+	private static final long MAX_RETRY_DELAY_MS = 800;
 
 	private final StoreClient store;
 
@@ -30,35 +31,35 @@
 
 	private final Consumer<StorePage> pages;
 
-	private final Runnable troubled;
+	private final Runnable outageListener;
 
 	private long nextOffset = -1;
 
-	private long pauseMs = FIRST_PAUSE_MS;
+	private long retryDelayMs = FIRST_RETRY_DELAY_MS;
 
 	private boolean reached;
 
 	private boolean failing;
 
 	/**
-	 * Creates a tail.
+	 * Creates a tail that starts with the newest record of each key.
 	 * @param store the store
 	 * @param topic the topic
-	 * @param minIntervalMs the least time between two reads, in milliseconds; gathers
-	 * changes that come in quick succession, because each read is priced
+	 * @param minIntervalMs the shortest time between the starts of two reads, in
+	 * milliseconds; one read then returns several changes, because each call is charged
 	 * @param clockMs the present time in milliseconds
-	 * @param pages takes the pages, on the tail's thread
-	 * @param troubled hears when the store is lost and when it is regained, on the tail's
-	 * thread
+	 * @param pages receives the pages, on the tail's thread
+	 * @param outageListener called on the tail's thread when an outage of the store
+	 * begins and when it ends
 	 */
 	StoreTail(StoreClient store, StoreTopic topic, long minIntervalMs, LongSupplier clockMs, Consumer<StorePage> pages,
-			Runnable troubled) {
+			Runnable outageListener) {
 		this.store = store;
 		this.topic = topic;
 		this.minIntervalMs = minIntervalMs;
 		this.clockMs = clockMs;
 		this.pages = pages;
-		this.troubled = troubled;
+		this.outageListener = outageListener;
 	}
 
 	@Override
@@ -66,31 +67,31 @@
 		try {
 			while (!Thread.currentThread().isInterrupted()) {
 				long startedAtMs = this.clockMs.getAsLong();
-				long restMs = step() - (this.clockMs.getAsLong() - startedAtMs);
-				if (restMs > 0) {
-					Thread.sleep(restMs);
+				long delayMs = readPage() - (this.clockMs.getAsLong() - startedAtMs);
+				if (delayMs > 0) {
+					Thread.sleep(delayMs);
 				}
 			}
 		}
 		catch (InterruptedException ex) {
-			// The process stops: the tail ends with it.
+			// The process is stopping.
 			Thread.currentThread().interrupt();
 		}
 	}
 
-	private long step() {
+	private long readPage() {
 		try {
 			StorePage page = (this.nextOffset < 0) ? this.store.newest(this.topic)
 					: this.store.read(this.topic, this.nextOffset, WAIT_MS);
 			this.nextOffset = page.nextOffset();
-			this.pauseMs = FIRST_PAUSE_MS;
+			this.retryDelayMs = FIRST_RETRY_DELAY_MS;
 			if (!this.reached || this.failing) {
-				boolean regained = this.failing;
+				boolean recovered = this.failing;
 				this.reached = true;
 				this.failing = false;
 				EventLog.state("store_reached").with("topic", this.topic).with("offset", this.nextOffset).write();
-				if (regained) {
-					this.troubled.run();
+				if (recovered) {
+					this.outageListener.run();
 				}
 			}
 			if (page.isComplete() || !page.records().isEmpty()) {
@@ -116,11 +117,11 @@
 				.with("type", ex.type())
 				.with("cause", ex.getMessage())
 				.write();
-			this.troubled.run();
+			this.outageListener.run();
 		}
-		long pause = this.pauseMs;
-		this.pauseMs = Math.min(MAX_PAUSE_MS, this.pauseMs * 2);
-		return pause;
+		long delayMs = this.retryDelayMs;
+		this.retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, this.retryDelayMs * 2);
+		return delayMs;
 	}
 
 }
--- a/entry/src/main/java/org/fulmargap/entry/StoreView.java
+++ b/entry/src/main/java/org/fulmargap/entry/StoreView.java
@@ -10,7 +10,8 @@
 import org.fulmargap.placement.EndpointRecord;
 
 /**
- * What this entry VM knows from the platform's store. Confined to the event loop.
+ * The state that this entry VM has read from the platform's store: the configuration, the
+ * endpoints and the evacuated failure domains. Confined to the event loop.
  */
 public final class StoreView {
 
@@ -23,9 +24,9 @@
 	private boolean endpointsKnown;
 
 	/**
-	 * Takes over a configuration, unless a newer one is known.
+	 * Replaces the configuration if the given one has a higher version.
 	 * @param newest the configuration
-	 * @return whether it is in force now
+	 * @return whether it was replaced
 	 */
 	public boolean replace(Catalog newest) {
 		if (this.catalog != null && newest.version() <= this.catalog.version()) {
@@ -36,9 +37,9 @@
 	}
 
 	/**
-	 * Takes a failure domain out, or back in.
+	 * Evacuates a failure domain or ends its evacuation.
 	 * @param domain the name of the domain
-	 * @param out whether it gets no new work
+	 * @param out {@code true} if its endpoints get no new work
 	 */
 	public void evacuate(String domain, boolean out) {
 		if (out) {
@@ -51,7 +52,7 @@
 	}
 
 	/**
-	 * Takes over the record of an endpoint.
+	 * Adds or updates an endpoint.
 	 * @param record the record
 	 * @param nowMs the present time in milliseconds
 	 * @return what changed
@@ -61,7 +62,7 @@
 	}
 
 	/**
-	 * Records that a complete listing of the endpoints was read.
+	 * Records that the endpoints have been read.
 	 */
 	public void endpointsListed() {
 		this.endpointsKnown = true;
@@ -76,8 +77,8 @@
 	}
 
 	/**
-	 * Returns the bounds on requests.
-	 * @return the bounds
+	 * Returns the limits of requests.
+	 * @return the limits, or the defaults before the first configuration
 	 */
 	public RequestLimits limits() {
 		return (this.catalog != null) ? this.catalog.limits() : RequestLimits.DEFAULT;
@@ -92,7 +93,7 @@
 	}
 
 	/**
-	 * Tells whether requests can be served.
+	 * Returns whether requests can be served.
 	 * @return {@code true} once the configuration and the endpoints are known
 	 */
 	public boolean isComplete() {
--- a/entry/src/main/java/org/fulmargap/entry/StoreWatch.java
+++ b/entry/src/main/java/org/fulmargap/entry/StoreWatch.java
@@ -24,7 +24,8 @@
 import org.fulmargap.platform.StoreTopic;
 
 /**
- * Keeps the view of the platform's store up to date.
+ * Keeps the view of the platform's store up to date, from the store and from records that
+ * peers relay, and writes the address of this VM to the store.
  */
 final class StoreWatch implements AutoCloseable {
 
@@ -34,14 +35,17 @@
 
 	private static final long MEMBERS_INTERVAL_MS = 1_000;
 
-	/** Records that vanish this soon after an outage may have lapsed by it, in ms. */
-	private static final long LAPSE_SUSPICION_MS = 2_500;
+	/**
+	 * Endpoint records that are removed within this time after the start or end of an
+	 * outage of the store may have expired because of it, in milliseconds.
+	 */
+	private static final long OUTAGE_EXPIRY_MS = 2_500;
 
-	/** A VM that is behind a peer for this time asks it, in milliseconds. */
+	/** How long this VM is behind a peer before it requests records, in milliseconds. */
 	private static final long BEHIND_MS = 900;
 
-	/** How long to wait before the own address is written again, in milliseconds. */
-	private static final long REGISTER_PAUSE_MS = 500;
+	/** The delay before the write of this VM's address is retried, in milliseconds. */
+	private static final long REGISTER_RETRY_DELAY_MS = 500;
 
 	private final StoreClient store;
 
@@ -59,7 +63,7 @@
 
 	private final List<Thread> threads = new ArrayList<>();
 
-	private long storeTroubledAtMs = Long.MIN_VALUE / 2;
+	private long storeOutageAtMs = Long.MIN_VALUE / 2;
 
 	StoreWatch(StoreClient store, EventLoop loop, LongSupplier clockMs, StoreView view, PeerNetwork peers) {
 		this.store = store;
@@ -81,7 +85,7 @@
 	private void follow(StoreTopic topic, long minIntervalMs) {
 		StoreTail tail = new StoreTail(this.store, topic, minIntervalMs, this.clockMs,
 				(page) -> this.loop.execute(() -> apply(topic, page)),
-				() -> this.loop.execute(() -> this.storeTroubledAtMs = this.clockMs.getAsLong()));
+				() -> this.loop.execute(() -> this.storeOutageAtMs = this.clockMs.getAsLong()));
 		run("tail-" + topic, tail);
 	}
 
@@ -92,13 +96,12 @@
 		thread.start();
 	}
 
-	// The own address is in the store before the addresses of the others are read, so
-	// that
-	// of two VMs that start together at least one finds the other.
+	// Writes the address of this VM before it reads those of the others, so that of two
+	// VMs that start together at least one finds the other.
 	private void register(String vm, String peerAddress) {
 		try {
 			while (!put(vm, peerAddress)) {
-				Thread.sleep(REGISTER_PAUSE_MS);
+				Thread.sleep(REGISTER_RETRY_DELAY_MS);
 			}
 			new StoreTail(this.store, StoreTopic.MEMBERS, MEMBERS_INTERVAL_MS, this.clockMs,
 					(page) -> this.loop.execute(() -> apply(StoreTopic.MEMBERS, page)), () -> {
@@ -125,15 +128,15 @@
 	private void apply(StoreTopic topic, StorePage page) {
 		StorePage fresh = this.topics.get(topic).apply(page);
 		switch (topic) {
-			case OPERATOR -> operatorPage(fresh);
-			case ENDPOINTS -> endpointPage(fresh);
-			case MEMBERS -> memberPage(fresh);
+			case OPERATOR -> applyOperatorPage(fresh);
+			case ENDPOINTS -> applyEndpointPage(fresh);
+			case MEMBERS -> applyMemberPage(fresh);
 		}
 	}
 
 	/**
-	 * Returns how far each topic is known.
-	 * @return the offsets in the order of the topics
+	 * Returns the next offset of each topic.
+	 * @return the offsets in the order of the topics; -1 for a topic that was not read
 	 */
 	List<Long> nextOffsets() {
 		List<Long> offsets = new ArrayList<>();
@@ -144,14 +147,14 @@
 	}
 
 	/**
-	 * Compares what is known with what a peer knows, and asks it for records that this VM
-	 * has not got for a while: the store may turn this VM away, or its connection may be
-	 * silent.
+	 * Compares the offsets of this VM with those of a peer, and requests records from the
+	 * peer if this VM has been behind for 900 ms: the store may refuse its calls, or its
+	 * connection to the store may have stopped delivering.
 	 * @param peer the name of the peer
-	 * @param offsets how far the peer knows the topics
+	 * @param offsets the peer's next offset of each topic, in the order of the topics
 	 * @param nowMs the present time in milliseconds
 	 */
-	void peerKnows(String peer, List<Long> offsets, long nowMs) {
+	void compareOffsets(String peer, List<Long> offsets, long nowMs) {
 		for (StoreTopic topic : StoreTopic.values()) {
 			boolean behind = topic.ordinal() < offsets.size()
 					&& offsets.get(topic.ordinal()) > this.topics.get(topic).nextOffset();
@@ -170,9 +173,9 @@
 	}
 
 	/**
-	 * Answers a peer that can't read the store.
+	 * Sends the requested records to a peer, unless this VM has not read the topic.
 	 * @param peer the name of the peer
-	 * @param request what it asks for
+	 * @param request the topic and the first offset
 	 */
 	void sendRecords(String peer, PeerMessage.RecordsRequest request) {
 		StorePage page = this.topics.get(request.topic()).since(request.from());
@@ -182,7 +185,7 @@
 	}
 
 	/**
-	 * Takes over records from a peer.
+	 * Applies records that a peer relayed.
 	 * @param records the records
 	 */
 	void received(PeerMessage.RecordsReply records) {
@@ -190,7 +193,7 @@
 		apply(records.topic(), records.page());
 	}
 
-	private void operatorPage(StorePage page) {
+	private void applyOperatorPage(StorePage page) {
 		for (KeyedRecord record : page.records()) {
 			try {
 				apply(OperatorRecord.decode(record), record.offset());
@@ -223,25 +226,25 @@
 		}
 	}
 
-	private void endpointPage(StorePage page) {
+	private void applyEndpointPage(StorePage page) {
 		long nowMs = this.clockMs.getAsLong();
-		boolean mayHaveLapsed = nowMs - this.storeTroubledAtMs < LAPSE_SUSPICION_MS;
-		long graceMs = (mayHaveLapsed) ? EndpointDirectory.LAPSE_GRACE_MS : 0;
+		boolean mayHaveExpired = nowMs - this.storeOutageAtMs < OUTAGE_EXPIRY_MS;
+		long graceMs = (mayHaveExpired) ? EndpointDirectory.LAPSE_GRACE_MS : 0;
 		Map<String, KeyedRecord> newest = new HashMap<>();
 		page.records().forEach((record) -> newest.put(record.key(), record));
 		for (KeyedRecord record : newest.values()) {
 			if (record.isRemoval()) {
-				removed(record, graceMs, nowMs);
+				removeEndpoint(record, graceMs, nowMs);
 			}
 			else {
-				updated(record, nowMs);
+				updateEndpoint(record, nowMs);
 			}
 		}
 		this.view.endpointsListed();
 		this.view.directory().purge(nowMs);
 	}
 
-	private void removed(KeyedRecord record, long graceMs, long nowMs) {
+	private void removeEndpoint(KeyedRecord record, long graceMs, long nowMs) {
 		if (this.view.directory().remove(record.key(), graceMs, nowMs)) {
 			EventLog.state("endpoint_gone")
 				.with("endpoint", record.key())
@@ -251,7 +254,7 @@
 		}
 	}
 
-	private void updated(KeyedRecord record, long nowMs) {
+	private void updateEndpoint(KeyedRecord record, long nowMs) {
 		try {
 			EndpointRecord endpoint = EndpointRecordDecoder.decode(record.key(), record.value());
 			EndpointDirectory.Change change = this.view.put(endpoint, nowMs);
@@ -275,7 +278,7 @@
 		}
 	}
 
-	private void memberPage(StorePage page) {
+	private void applyMemberPage(StorePage page) {
 		for (KeyedRecord record : page.records()) {
 			if (record.isRemoval()) {
 				this.peers.removePeer(record.key());
--- a/entry/src/main/java/org/fulmargap/entry/TopicView.java
+++ b/entry/src/main/java/org/fulmargap/entry/TopicView.java
@@ -12,9 +12,8 @@
 import org.fulmargap.platform.StorePage;
 
 /**
- * The newest record of each key of a topic, whether it came from the store or from a
- * peer. Records that are older than what is known are passed over. Confined to the event
- * loop.
+ * The newest record of each key of a topic, from the store or from peers. A record is
+ * ignored if a newer one of its key is known. Confined to the event loop.
  */
 final class TopicView {
 
@@ -23,9 +22,10 @@
 	private long nextOffset = -1;
 
 	/**
-	 * Takes over a page.
+	 * Applies a page.
 	 * @param page the page
-	 * @return the page with only those records that are news
+	 * @return the records that were not known, with removals of the keys that a complete
+	 * listing lacks
 	 */
 	StorePage apply(StorePage page) {
 		List<KeyedRecord> fresh = new ArrayList<>();
@@ -45,11 +45,11 @@
 		return new StorePage(fresh, page.nextOffset(), page.isComplete());
 	}
 
-	// A complete listing tells of keys that were dropped while records were missed.
+	// Adds removals of keys that a complete listing lacks: their removal was missed.
 	private void addRemovals(StorePage page, Set<String> listed, List<KeyedRecord> fresh) {
 		for (KeyedRecord known : List.copyOf(this.newest.values())) {
-			boolean dropped = !listed.contains(known.key()) && !known.isRemoval() && known.offset() < page.nextOffset();
-			if (dropped) {
+			boolean removed = !listed.contains(known.key()) && !known.isRemoval() && known.offset() < page.nextOffset();
+			if (removed) {
 				KeyedRecord removal = new KeyedRecord(known.key(), new byte[0], page.nextOffset() - 1);
 				this.newest.put(known.key(), removal);
 				fresh.add(removal);
@@ -58,8 +58,9 @@
 	}
 
 	/**
-	 * Returns the records from an offset on.
-	 * @param from the first offset; a negative one for the newest record of each key
+	 * Returns the newest record of each key whose offset is not below the given one, in
+	 * the order of the offsets.
+	 * @param from the first offset; if negative, the page is complete and has no removals
 	 * @return the records
 	 */
 	StorePage since(long from) {
@@ -74,8 +75,8 @@
 	}
 
 	/**
-	 * Returns how far the topic is known.
-	 * @return the offset after the newest record; -1 if nothing is known
+	 * Returns the offset from which the topic has not been read.
+	 * @return the offset; -1 before the first page
 	 */
 	long nextOffset() {
 		return this.nextOffset;
--- a/entry/src/main/java/org/fulmargap/entry/package-info.java
+++ b/entry/src/main/java/org/fulmargap/entry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The entry VM on the users' platform: starts and stops, watches the store, says when it
- * is ready.
+ * The entry VM on the users' platform: start and shutdown, the watch of the store, the
+ * log, the metrics and the readiness probe.
  */
 package org.fulmargap.entry;
