--- a/entry/src/main/java/org/fulmargap/entry/caller/CallerConnection.java
+++ b/entry/src/main/java/org/fulmargap/entry/caller/CallerConnection.java
@@ -24,12 +24,14 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * The connection of one caller: hands its requests on one after the other and writes
- * their answers.
+ * The connection of one caller. Passes its requests to the handler one at a time, in
+ * order, and writes their answers.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
 
-	/** The requests that may wait on one connection for the answer to the one before. */
+	/**
+	 * The number of pipelined requests that may wait for the answer to the current one.
+	 */
 	private static final int MAX_PIPELINED = 16;
 
 	private final CallerServer server;
@@ -59,8 +61,8 @@
 	public void channelRead(ChannelHandlerContext context, Object message) {
 		FullHttpRequest request = (FullHttpRequest) message;
 		if (this.closing) {
-			// The answer that ends the connection is on its way; this request is not
-			// read.
+			// The last answer on this connection is being written; later requests are
+			// dropped.
 			request.release();
 			return;
 		}
@@ -89,7 +91,9 @@
 		exchange.listener = this.server.handler().handle(request, exchange);
 	}
 
-	// A request whose end two readers may see at different places could hide another one.
+	// Two Content-Length headers allow request smuggling: two parsers may disagree on
+	// where
+	// the request ends. Not exactly one Host header leaves the route ambiguous.
 	private static boolean isAmbiguous(FullHttpRequest request) {
 		HttpHeaders headers = request.headers();
 		return headers.getAll(HttpHeaderNames.CONTENT_LENGTH).size() > 1
@@ -101,10 +105,10 @@
 		this.server.closed(this);
 		this.pipelined.forEach(FullHttpRequest::release);
 		this.pipelined.clear();
-		Exchange left = this.current;
+		Exchange abandoned = this.current;
 		this.current = null;
-		if (left != null && left.listener != null) {
-			left.listener.callerLeft();
+		if (abandoned != null && abandoned.listener != null) {
+			abandoned.listener.callerLeft();
 		}
 	}
 
@@ -160,7 +164,7 @@
 
 		@Override
 		public void answer(int status, HttpHeaders headers, ByteBuf body) {
-			if (isGone()) {
+			if (isFinished()) {
 				body.release();
 				return;
 			}
@@ -174,7 +178,7 @@
 
 		@Override
 		public void begin(int status, HttpHeaders headers) {
-			if (isGone()) {
+			if (isFinished()) {
 				return;
 			}
 			HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
@@ -186,7 +190,7 @@
 
 		@Override
 		public void write(ByteBuf content) {
-			if (isGone()) {
+			if (isFinished()) {
 				content.release();
 				return;
 			}
@@ -195,20 +199,20 @@
 
 		@Override
 		public void end() {
-			if (!isGone()) {
+			if (!isFinished()) {
 				write(LastHttpContent.EMPTY_LAST_CONTENT, true);
 			}
 		}
 
 		@Override
 		public void abort() {
-			if (!isGone()) {
+			if (!isFinished()) {
 				CallerConnection.this.current = null;
 				CallerConnection.this.context.close();
 			}
 		}
 
-		private boolean isGone() {
+		private boolean isFinished() {
 			return CallerConnection.this.current != this;
 		}
 
--- a/entry/src/main/java/org/fulmargap/entry/caller/CallerExchange.java
+++ b/entry/src/main/java/org/fulmargap/entry/caller/CallerExchange.java
@@ -4,38 +4,40 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * One request of a caller and the way to answer it. Confined to the event loop.
+ * Writes the answer to one request of a caller. Has no effect after the answer is
+ * complete or the caller has disconnected. Confined to the event loop.
  */
 public interface CallerExchange {
 
 	/**
-	 * Answers with a whole body.
+	 * Writes a complete answer.
 	 * @param status the HTTP status
-	 * @param headers the headers without those of the connection
-	 * @param body the body; the exchange takes it over
+	 * @param headers the headers except {@code Connection} and {@code Content-Length}
+	 * @param body the body; the exchange releases it
 	 */
 	void answer(int status, HttpHeaders headers, ByteBuf body);
 
 	/**
-	 * Begins an answer whose body follows in parts.
+	 * Starts an answer whose body follows in parts.
 	 * @param status the HTTP status
-	 * @param headers the headers without those of the connection
+	 * @param headers the headers except {@code Connection} and {@code Transfer-Encoding}
 	 */
 	void begin(int status, HttpHeaders headers);
 
 	/**
-	 * Sends a part of the body.
-	 * @param content the bytes; the exchange takes them over
+	 * Writes a part of the body.
+	 * @param content the bytes; the exchange releases them
 	 */
 	void write(ByteBuf content);
 
 	/**
-	 * Ends the body that {@link #begin} announced.
+	 * Completes an answer that {@link #begin} started.
 	 */
 	void end();
 
 	/**
-	 * Ends the connection, so that an answer that has begun is seen to be incomplete.
+	 * Closes the connection, so that the caller detects that a started answer is
+	 * incomplete.
 	 */
 	void abort();
 
--- a/entry/src/main/java/org/fulmargap/entry/caller/CallerHandler.java
+++ b/entry/src/main/java/org/fulmargap/entry/caller/CallerHandler.java
@@ -3,15 +3,16 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 
 /**
- * Takes the requests of callers.
+ * Handles the requests of callers.
  */
 public interface CallerHandler {
 
 	/**
-	 * Takes a request.
+	 * Handles a request.
 	 * @param request the request; the handler releases it
-	 * @param exchange the way to answer it
-	 * @return what hears if the caller leaves; {@code null} if the request is answered
+	 * @param exchange writes the answer
+	 * @return the listener for a disconnect of the caller, or {@code null} if the request
+	 * is already answered
 	 */
 	CallerListener handle(FullHttpRequest request, CallerExchange exchange);
 
--- a/entry/src/main/java/org/fulmargap/entry/caller/CallerListener.java
+++ b/entry/src/main/java/org/fulmargap/entry/caller/CallerListener.java
@@ -1,12 +1,12 @@
 package org.fulmargap.entry.caller;
 
 /**
- * Hears what a caller does while its request is under way.
+ * Handles events of a caller while its request is in flight.
  */
 public interface CallerListener {
 
 	/**
-	 * Hears that the caller closed its connection.
+	 * Handles the loss of the connection before the request is answered.
 	 */
 	void callerLeft();
 
--- a/entry/src/main/java/org/fulmargap/entry/caller/CallerServer.java
+++ b/entry/src/main/java/org/fulmargap/entry/caller/CallerServer.java
@@ -43,11 +43,11 @@
 	private boolean draining;
 
 	/**
-	 * Creates a server that doesn't listen yet.
+	 * Creates a server that does not listen yet.
 	 * @param loop the event loop of all connections
 	 * @param clockMs the present time in milliseconds
-	 * @param limits the bounds on requests
-	 * @param handler takes the requests
+	 * @param limits supplies the limits of requests; new connections use the current ones
+	 * @param handler handles the requests
 	 */
 	public CallerServer(EventLoop loop, LongSupplier clockMs, Supplier<RequestLimits> limits, CallerHandler handler) {
 		this.loop = loop;
@@ -57,7 +57,7 @@
 	}
 
 	/**
-	 * Begins to listen.
+	 * Starts to listen.
 	 * @param address the address as {@code IP:port}
 	 * @throws InterruptedException if the thread is interrupted meanwhile
 	 */
@@ -95,21 +95,22 @@
 	}
 
 	/**
-	 * Begins to leave: answers ask callers to close their connections.
+	 * Starts to drain: answers are sent with {@code Connection: close}, and their
+	 * connections are closed after them.
 	 */
 	public void drain() {
 		this.draining = true;
 	}
 
 	/**
-	 * Closes the connections that carry no request.
+	 * Closes the connections without a request in flight.
 	 */
 	public void closeUnused() {
 		List.copyOf(this.connections).forEach(CallerConnection::closeIfUnused);
 	}
 
 	/**
-	 * Returns the number of requests that are under way.
+	 * Returns the number of connections with a request in flight.
 	 * @return the number
 	 */
 	public long busyConnections() {
--- a/entry/src/main/java/org/fulmargap/entry/caller/package-info.java
+++ b/entry/src/main/java/org/fulmargap/entry/caller/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The connections of callers.
+ * The HTTP server for callers.
  */
 package org.fulmargap.entry.caller;
--- a/entry/src/main/java/org/fulmargap/entry/endpoint/CallFailure.java
+++ b/entry/src/main/java/org/fulmargap/entry/endpoint/CallFailure.java
@@ -5,16 +5,16 @@
  */
 public enum CallFailure {
 
-	/** No connection came about: nothing was sent. */
+	/** The connection could not be opened, so nothing was sent. */
 	NOT_CONNECTED(false),
 
 	/** The connection broke after the request, or a part of it, was sent. */
 	CONNECTION_LOST(true),
 
-	/** The endpoint sent bytes that are no answer to the request. */
+	/** The endpoint sent bytes that are not a valid HTTP response. */
 	WRONG_ANSWER(true),
 
-	/** The answer did not come in time. */
+	/** The answer did not arrive in time. */
 	TIMED_OUT(true);
 
 	private final boolean mayHaveRun;
@@ -24,8 +24,8 @@
 	}
 
 	/**
-	 * Tells whether the request may have run.
-	 * @return {@code false} if it certainly has not
+	 * Returns whether the request may have run.
+	 * @return {@code false} if it can't have run
 	 */
 	public boolean mayHaveRun() {
 		return this.mayHaveRun;
--- a/entry/src/main/java/org/fulmargap/entry/endpoint/EndpointCall.java
+++ b/entry/src/main/java/org/fulmargap/entry/endpoint/EndpointCall.java
@@ -5,38 +5,40 @@
 import org.fulmargap.platform.EndpointAnswer;
 
 /**
- * Hears what becomes of a call to an endpoint. Exactly one of {@link #ended} and
- * {@link #failed} comes last, unless the call is cancelled.
+ * Receives the answer to a call to an endpoint. Exactly one of {@link #ended} and
+ * {@link #failed} is called last, unless the call is cancelled; then no further method is
+ * called.
  */
 public interface EndpointCall {
 
 	/**
-	 * Returns the identity that the answer must carry.
-	 * @return the identity, or an empty text if any answer belongs to the call
+	 * Returns the attempt id that the answer must have if it has one. Answers with
+	 * another id are skipped.
+	 * @return the id, or an empty string if answers with any id are accepted
 	 */
 	String attemptId();
 
 	/**
-	 * Hears the head of the answer.
-	 * @param answer what it says
-	 * @param head the head itself
+	 * Receives the status and headers of the answer.
+	 * @param answer the decoded status and headers
+	 * @param head the HTTP response without its body
 	 */
 	void answered(EndpointAnswer answer, HttpResponse head);
 
 	/**
-	 * Hears a part of the body.
+	 * Receives a part of the body.
 	 * @param content the bytes, valid only during this method
 	 */
 	void received(ByteBuf content);
 
 	/**
-	 * Hears that the answer is complete.
+	 * Handles the end of a complete answer.
 	 */
 	void ended();
 
 	/**
-	 * Hears that there will be no (further) answer.
-	 * @param failure why
+	 * Handles the failure of the call. The answer is missing or incomplete.
+	 * @param failure the cause
 	 */
 	void failed(CallFailure failure);
 
--- a/entry/src/main/java/org/fulmargap/entry/endpoint/EndpointConnection.java
+++ b/entry/src/main/java/org/fulmargap/entry/endpoint/EndpointConnection.java
@@ -13,8 +13,9 @@
 import org.fulmargap.platform.EndpointHeaders;
 
 /**
- * One connection to an endpoint, which carries one call at a time. Answers to other calls
- * are skipped; bytes that no call waits for end the connection.
+ * A connection to an endpoint, which carries one call at a time. An answer with the
+ * attempt id of another call is skipped; bytes that arrive while no call is in flight
+ * close the connection.
  */
 final class EndpointConnection extends ChannelInboundHandlerAdapter {
 
@@ -73,7 +74,7 @@
 	}
 
 	/**
-	 * Ends the connection and forgets its call, which hears nothing more.
+	 * Closes the connection and drops its call without a notification.
 	 */
 	void cancel() {
 		this.call = null;
@@ -135,10 +136,10 @@
 			this.call.received(content.content());
 		}
 		if (content instanceof LastHttpContent && !this.skipping && this.call != null) {
-			EndpointCall done = this.call;
+			EndpointCall completed = this.call;
 			this.call = null;
-			// An answer that came before the whole request was written may leave bytes of
-			// the request unread at the endpoint.
+			// If the answer is complete before the request is written, the endpoint may
+			// not have read the whole request, so the connection can't be reused.
 			if (this.closesAfterAnswer || !this.requestWritten) {
 				this.channel.close();
 			}
@@ -146,7 +147,7 @@
 				this.idleSinceMs = this.pool.nowMs();
 				this.pool.release(this);
 			}
-			done.ended();
+			completed.ended();
 		}
 	}
 
--- a/entry/src/main/java/org/fulmargap/entry/endpoint/EndpointPool.java
+++ b/entry/src/main/java/org/fulmargap/entry/endpoint/EndpointPool.java
@@ -23,20 +23,20 @@
 import io.netty.handler.codec.http.HttpResponseDecoder;
 
 /**
- * Keeps connections to endpoints open between calls. Confined to its event loop.
+ * A pool of keep-alive connections to endpoints. Confined to its event loop.
  */
 public final class EndpointPool implements AutoCloseable {
 
-	/** How long a connection may take to come about, in milliseconds. */
+	/** The connect timeout in milliseconds. */
 	private static final int CONNECT_TIMEOUT_MS = 250;
 
-	/** How long a connection is kept when the endpoint names no time, in milliseconds. */
+	/** The idle timeout if the endpoint does not state one, in milliseconds. */
 	private static final long DEFAULT_IDLE_MS = 900;
 
-	/** A connection is given up this long before its endpoint would, in milliseconds. */
+	/** Idle connections are closed this long before the idle timeout, in milliseconds. */
 	private static final long IDLE_MARGIN_MS = 300;
 
-	/** How often connections that were idle too long are closed, in milliseconds. */
+	/** The interval at which connections that were idle too long are closed, in ms. */
 	private static final long SWEEP_INTERVAL_MS = 500;
 
 	private final EventLoop loop;
@@ -73,17 +73,17 @@
 	}
 
 	/**
-	 * Sends a request to an endpoint.
+	 * Sends a request to an endpoint, on an idle connection or a new one.
 	 * @param address the address as {@code IP:port}
-	 * @param request the request; the pool takes it over
-	 * @param call hears what becomes of it
-	 * @return what cancels the call
+	 * @param request the request; the pool releases it
+	 * @param call receives the answer or the failure
+	 * @return a handle that cancels the call
 	 */
 	public Cancellable send(String address, FullHttpRequest request, EndpointCall call) {
-		EndpointConnection kept = takeIdle(address);
-		if (kept != null) {
-			kept.send(request, call);
-			return kept::cancel;
+		EndpointConnection idle = takeIdle(address);
+		if (idle != null) {
+			idle.send(request, call);
+			return idle::cancel;
 		}
 		return connect(address, request, call);
 	}
@@ -111,10 +111,10 @@
 	}
 
 	/**
-	 * Finds out whether an endpoint still takes connections. Questions about one address
-	 * that come together share one attempt.
+	 * Checks whether an endpoint accepts connections, by opening and closing one.
+	 * Concurrent probes of one address share one connection attempt.
 	 * @param address the address as {@code IP:port}
-	 * @param reachable hears whether a connection came about
+	 * @param reachable receives {@code true} if a connection could be opened
 	 */
 	public void probe(String address, Consumer<Boolean> reachable) {
 		List<Consumer<Boolean>> waiting = this.probes.get(address);
@@ -180,7 +180,7 @@
 	}
 
 	/**
-	 * Returns the number of connections that were opened.
+	 * Returns the number of connection attempts, including probes and failed ones.
 	 * @return the number since the start
 	 */
 	public long connects() {
@@ -193,13 +193,14 @@
 	}
 
 	/**
-	 * Ends a call whose answer is no longer of use.
+	 * Cancels a call whose answer is no longer needed.
 	 */
 	@FunctionalInterface
 	public interface Cancellable {
 
 		/**
-		 * Ends the call and its connection; the call hears nothing more.
+		 * Cancels the call and closes its connection; no method of the call is called
+		 * after this.
 		 */
 		void cancel();
 
--- a/entry/src/main/java/org/fulmargap/entry/endpoint/package-info.java
+++ b/entry/src/main/java/org/fulmargap/entry/endpoint/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Connections and calls to endpoints.
+ * The connection pool and calls to endpoints.
  */
 package org.fulmargap.entry.endpoint;
