--- a/entry/src/main/java/org/fulmargap/entry/endpoint/CallFailure.java
+++ b/entry/src/main/java/org/fulmargap/entry/endpoint/CallFailure.java
@@ -11,7 +11,7 @@
 	/** The connection broke after the request, or a part of it, was sent. */
 	CONNECTION_LOST(true),
 
-	/** The endpoint sent bytes that are not a valid HTTP response. */
+	/** The endpoint sent invalid HTTP or a success without its signature header. */
 	WRONG_ANSWER(true),
 
 	/** The answer did not arrive in time. */
--- a/entry/src/test/java/org/fulmargap/entry/EntryVmTests.java
+++ b/entry/src/test/java/org/fulmargap/entry/EntryVmTests.java
@@ -63,7 +63,7 @@
 			HttpResponse<String> response = send("/read/x");
 			assertThat(response.statusCode()).isEqualTo(200);
 			assertThat(response.body()).isEqualTo("done by core-1");
-			assertThat(response.headers().firstValue(CallerWire.SIGNATURE)).contains("seal-of-core-1");
+			assertThat(response.headers().firstValue(CallerWire.SIGNATURE)).contains("signature-of-core-1");
 			assertThat(core.requests().get(0)).containsEntry(CallerWire.ACCOUNT, "chain")
 				.doesNotContainKey("authorization");
 		}
@@ -90,7 +90,7 @@
 
 		@Test
 		void aNonIdempotentRequestGoesElsewhereWhenItsEndpointSaysItHasNotRun() throws Exception {
-			endpoint("core-1", "core").fault(EndpointStandIn.Fault.FULL);
+			endpoint("core-1", "core").fault(EndpointStandIn.Fault.REFUSE);
 			EndpointStandIn good = endpoint("core-2", "core");
 			startVms(1);
 			assertThat(send("/push/x").statusCode()).isEqualTo(200);
@@ -227,7 +227,7 @@
 		void inputsThatAreGoneAreMadeAgain() throws Exception {
 			endpoint("pool-1", "pool");
 			EndpointStandIn stage = endpoint("stage-1", "stage");
-			stage.fault(EndpointStandIn.Fault.FORGET_INPUTS);
+			stage.fault(EndpointStandIn.Fault.EXPIRE_INPUTS);
 			startVms(1);
 			HttpResponse<String> response = EntryVmTests.this.installation
 				.send(EntryVmTests.this.installation.pipeline(0));
