--- a/entry/src/test/java/org/fulmargap/entry/EntryProcess.java
+++ b/entry/src/test/java/org/fulmargap/entry/EntryProcess.java
@@ -10,7 +10,7 @@
 import org.fulmargap.platform.standin.SettingsText;
 
 /**
- * An entry VM in a process of its own, on a loopback address of its own.
+ * An entry VM in a separate process, on a separate loopback address.
  */
 final class EntryProcess implements AutoCloseable {
 
@@ -29,27 +29,27 @@
 	/**
 	 * Starts a process.
 	 * @param number a number from 1 to 200 that no other process has
-	 * @param folder where its settings and its log go
+	 * @param directory the directory for its settings and its log
 	 * @param storeAddress the address of the store as {@code IP:port}
-	 * @throws IOException if it can't be started
+	 * @throws IOException if the process can't be started
 	 */
-	EntryProcess(int number, Path folder, String storeAddress) throws IOException {
+	EntryProcess(int number, Path directory, String storeAddress) throws IOException {
 		this.ip = ip(number);
-		Path settings = Files.writeString(folder.resolve("vm-" + number + ".toml"),
+		Path settings = Files.writeString(directory.resolve("vm-" + number + ".toml"),
 				SettingsText.of("vm-" + number, this.ip, CALLER_PORT, READINESS_PORT, PEER_PORT, storeAddress));
 		String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
 		ProcessBuilder builder = new ProcessBuilder(java, "-Xmx96m", "-cp", System.getProperty("java.class.path"),
 				EntryMain.class.getName());
 		builder.environment().put(NodeSettingsFile.PATH_VARIABLE, settings.toString());
-		File log = folder.resolve("vm-" + number + ".log").toFile();
+		File log = directory.resolve("vm-" + number + ".log").toFile();
 		this.process = builder.redirectErrorStream(true).redirectOutput(log).start();
 	}
 
 	/**
-	 * Returns the address of a process. Processes of other runs on this machine use other
-	 * addresses.
+	 * Returns the IP address of a process. It depends on the id of this process, so that
+	 * test runs at the same time on one machine rarely share addresses.
 	 * @param number the number of the process
-	 * @return the address
+	 * @return the IP address
 	 */
 	static String ip(int number) {
 		return "127.7." + ProcessHandle.current().pid() % 250 + '.' + number;
@@ -65,19 +65,19 @@
 
 	/**
 	 * Sends a signal to the process.
-	 * @param signal the name of the signal, as {@code STOP}
+	 * @param signal the name of the signal, for example {@code STOP}
 	 */
 	void signal(String signal) throws IOException, InterruptedException {
 		new ProcessBuilder("kill", '-' + signal, Long.toString(this.process.pid())).inheritIO().start().waitFor();
 	}
 
 	/**
-	 * Waits for the end of the process.
+	 * Waits until the process exits.
 	 * @return its exit code
 	 */
 	int awaitExit() throws InterruptedException {
 		if (!this.process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS)) {
-			throw new AssertionError("the process did not end in time");
+			throw new AssertionError("the process did not exit in time");
 		}
 		return this.process.exitValue();
 	}
--- a/entry/src/test/java/org/fulmargap/entry/EntryProcessTests.java
+++ b/entry/src/test/java/org/fulmargap/entry/EntryProcessTests.java
@@ -23,8 +23,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests of entry VMs in processes of their own that are stopped, paused and killed by
- * signals while requests run.
+ * Tests of entry VMs in separate processes, which are terminated, paused and killed by
+ * signals while requests are in flight.
  */
 class EntryProcessTests {
 
@@ -35,7 +35,7 @@
 	private static final String LAST_EVENT = "id: 4\ndata: token4\n\n";
 
 	@TempDir
-	private Path folder;
+	private Path directory;
 
 	private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
@@ -58,7 +58,7 @@
 		this.engine.workMs(250);
 		this.stage = endpoint("stage-1", "stage");
 		for (int i = 0; i < VMS; i++) {
-			this.vms.add(new EntryProcess(i + 1, this.folder, this.store.address()));
+			this.vms.add(new EntryProcess(i + 1, this.directory, this.store.address()));
 		}
 		for (EntryProcess vm : this.vms) {
 			Installation.await(() -> isReady(vm));
@@ -80,11 +80,11 @@
 	}
 
 	private boolean isReady(EntryProcess vm) {
-		HttpRequest question = HttpRequest.newBuilder(URI.create("http://" + vm.readinessAddress() + "/readyz"))
+		HttpRequest probe = HttpRequest.newBuilder(URI.create("http://" + vm.readinessAddress() + "/readyz"))
 			.timeout(Duration.ofSeconds(1))
 			.build();
 		try {
-			return this.client.send(question, HttpResponse.BodyHandlers.discarding()).statusCode() == 200;
+			return this.client.send(probe, HttpResponse.BodyHandlers.discarding()).statusCode() == 200;
 		}
 		catch (IOException ex) {
 			return false;
@@ -119,7 +119,7 @@
 		return responses;
 	}
 
-	private static void assertWhole(List<CompletableFuture<HttpResponse<String>>> responses) throws Exception {
+	private static void assertComplete(List<CompletableFuture<HttpResponse<String>>> responses) throws Exception {
 		for (CompletableFuture<HttpResponse<String>> response : responses) {
 			assertThat(response.get().statusCode()).isEqualTo(200);
 			assertThat(response.get().body()).startsWith("id: 0\n").endsWith(LAST_EVENT);
@@ -127,17 +127,17 @@
 	}
 
 	@Test
-	void aVmThatIsStoppedFinishesItsStreams() throws Exception {
+	void aTerminatedVmFinishesItsStreams() throws Exception {
 		List<CompletableFuture<HttpResponse<String>>> responses = streams(this.vms);
 		Installation.await(() -> this.engine.runs() == responses.size());
 		this.vms.get(0).signal("TERM");
-		assertWhole(responses);
+		assertComplete(responses);
 		assertThat(this.vms.get(0).awaitExit()).isZero();
-		assertWhole(streams(this.vms.subList(1, VMS)));
+		assertComplete(streams(this.vms.subList(1, VMS)));
 	}
 
 	@Test
-	void aVmThatIsKilledTakesNoRequestOfOthersWithIt() throws Exception {
+	void aKilledVmFailsNoRequestsOfOtherVms() throws Exception {
 		this.stage.workMs(400);
 		for (int killed = 0; killed < VMS - 1; killed++) {
 			List<EntryProcess> others = this.vms.subList(killed + 1, VMS);
@@ -145,24 +145,24 @@
 			int calls = this.stage.itemsByCall().size();
 			Installation.await(() -> this.stage.itemsByCall().size() > calls);
 			this.vms.get(killed).signal("KILL");
-			assertWhole(responses);
+			assertComplete(responses);
 		}
 	}
 
 	@Test
-	void aVmThatIsPausedServesAgainWhenItGoesOn() throws Exception {
+	void aPausedVmServesAgainAfterItContinues() throws Exception {
 		EntryProcess paused = this.vms.get(0);
 		paused.signal("STOP");
-		assertWhole(streams(this.vms.subList(1, VMS)));
+		assertComplete(streams(this.vms.subList(1, VMS)));
 		paused.signal("CONT");
 		Installation.await(() -> isReady(paused));
-		assertWhole(streams(this.vms));
+		assertComplete(streams(this.vms));
 	}
 
 	@Test
-	void requestsAreServedWhileTheStoreIsAway() throws Exception {
+	void requestsAreServedWhileTheStoreIsUnavailable() throws Exception {
 		this.store.close();
-		assertWhole(streams(this.vms));
+		assertComplete(streams(this.vms));
 	}
 
 }
--- a/entry/src/test/java/org/fulmargap/entry/EntryVmTests.java
+++ b/entry/src/test/java/org/fulmargap/entry/EntryVmTests.java
@@ -19,7 +19,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Tests of {@link EntryVm} with stand-ins of the platform.
+ * Tests of {@link EntryVm} with stand-ins of the endpoints and the store.
  */
 class EntryVmTests {
 
@@ -57,7 +57,7 @@
 	class PlainRequests {
 
 		@Test
-		void theAnswerOfAnEndpointIsPassedOnWithItsSignature() throws Exception {
+		void answersOfEndpointsAreForwardedWithTheirSignature() throws Exception {
 			EndpointStandIn core = endpoint("core-1", "core");
 			startVms(1);
 			HttpResponse<String> response = send("/read/x");
@@ -69,7 +69,7 @@
 		}
 
 		@Test
-		void anIdempotentRequestIsRepeatedElsewhereWhenItsAnswerIsLost() throws Exception {
+		void anIdempotentRequestIsRetriedAtAnotherEndpointWhenItsAnswerIsLost() throws Exception {
 			endpoint("core-1", "core").fault(EndpointStandIn.Fault.LOSE_ANSWER);
 			EndpointStandIn good = endpoint("core-2", "core");
 			startVms(1);
@@ -78,7 +78,7 @@
 		}
 
 		@Test
-		void aNonIdempotentRequestWhoseAnswerIsLostRunsOnceAndIsNotSaidNotToHaveRun() throws Exception {
+		void aNonIdempotentRequestWhoseAnswerIsLostRunsOnceAndGetsStatus502() throws Exception {
 			EndpointStandIn one = endpoint("core-1", "core");
 			EndpointStandIn two = endpoint("core-2", "core");
 			one.fault(EndpointStandIn.Fault.LOSE_ANSWER);
@@ -89,7 +89,7 @@
 		}
 
 		@Test
-		void aNonIdempotentRequestGoesElsewhereWhenItsEndpointSaysItHasNotRun() throws Exception {
+		void aNonIdempotentRequestIsRetriedWhenItsEndpointHasNotRunIt() throws Exception {
 			endpoint("core-1", "core").fault(EndpointStandIn.Fault.REFUSE);
 			EndpointStandIn good = endpoint("core-2", "core");
 			startVms(1);
@@ -98,7 +98,7 @@
 		}
 
 		@Test
-		void theAnswerToAnotherRequestIsNotPassedOn() throws Exception {
+		void anAnswerToAnotherRequestIsNotForwarded() throws Exception {
 			endpoint("core-1", "core").fault(EndpointStandIn.Fault.CROSS_ANSWER);
 			startVms(1);
 			HttpResponse<String> response = send("/push/x");
@@ -123,7 +123,7 @@
 		}
 
 		@Test
-		void aSecondAnswerBelongsToNoRequest() throws Exception {
+		void aSecondAnswerIsDiscarded() throws Exception {
 			try (RawEndpointStandIn endpoint = new RawEndpointStandIn(RawEndpointStandIn.Answer.TWICE)) {
 				start(endpoint);
 				for (int i = 0; i < 8; i++) {
@@ -143,7 +143,7 @@
 		}
 
 		@Test
-		void anAnswerWithoutLengthWhoseConnectionIsResetIsNotWhole() throws Exception {
+		void anAnswerWithoutLengthWhoseConnectionIsResetIsIncomplete() throws Exception {
 			try (RawEndpointStandIn endpoint = new RawEndpointStandIn(RawEndpointStandIn.Answer.RESET_WITHOUT_LENGTH)) {
 				start(endpoint);
 				assertThat(push("id").statusCode()).isEqualTo(502);
@@ -151,7 +151,7 @@
 		}
 
 		@Test
-		void aTruncatedAnswerIsNotWhole() throws Exception {
+		void aTruncatedAnswerIsIncomplete() throws Exception {
 			try (RawEndpointStandIn endpoint = new RawEndpointStandIn(RawEndpointStandIn.Answer.TRUNCATED)) {
 				start(endpoint);
 				assertThat(push("id").statusCode()).isEqualTo(502);
@@ -164,14 +164,14 @@
 	class Refusals {
 
 		@Test
-		void aVmWithoutConfigurationSaysThatTheRequestHasNotRun() throws Exception {
+		void aVmWithoutConfigurationAnswersWithStatus503() throws Exception {
 			EntryVmTests.this.installation.store().fault(StoreStandIn.Fault.DOWN);
 			EntryVmTests.this.installation.vm("vm-0");
 			assertThat(send("/read/x").statusCode()).isEqualTo(503);
 		}
 
 		@Test
-		void anUnknownRouteAndAnUnknownKeyAreToldApart() throws Exception {
+		void anUnknownRouteAndAnUnknownKeyGetDifferentStatuses() throws Exception {
 			endpoint("core-1", "core");
 			startVms(1);
 			assertThat(send("/none/x").statusCode()).isEqualTo(404);
@@ -181,26 +181,26 @@
 		}
 
 		@Test
-		void aServiceWithoutEndpointsRefusesAtOnceAndSaysWhenToComeBack() throws Exception {
+		void aServiceWithoutEndpointsRefusesAtOnceWithRetryAfter() throws Exception {
 			startVms(1);
-			long beganAtMs = System.currentTimeMillis();
+			long startedAtMs = System.currentTimeMillis();
 			HttpResponse<String> response = send("/push/x");
 			assertThat(response.statusCode()).isEqualTo(503);
 			assertThat(response.headers().firstValue("Retry-After")).isPresent();
-			assertThat(System.currentTimeMillis() - beganAtMs).isLessThan(300);
+			assertThat(System.currentTimeMillis() - startedAtMs).isLessThan(300);
 		}
 
 		@Test
-		void aNewConfigurationIsInForceSoon() throws Exception {
+		void aNewConfigurationIsInForceWithinTwoSeconds() throws Exception {
 			endpoint("core-1", "core");
 			startVms(1);
 			assertThat(send("/late/x").statusCode()).isEqualTo(404);
 			EntryVmTests.this.installation.store()
 				.put(CallerWire.OPERATOR_TOPIC, "config",
 						CallerWire.CONFIG.formatted(2).replace("\"/read/\"", "\"/late/\""));
-			long beganAtMs = System.currentTimeMillis();
+			long startedAtMs = System.currentTimeMillis();
 			while (send("/late/x").statusCode() != 200) {
-				assertThat(System.currentTimeMillis() - beganAtMs).isLessThan(2_000);
+				assertThat(System.currentTimeMillis() - startedAtMs).isLessThan(2_000);
 			}
 		}
 
@@ -224,7 +224,7 @@
 		}
 
 		@Test
-		void inputsThatAreGoneAreMadeAgain() throws Exception {
+		void expiredInputsAreComputedAgain() throws Exception {
 			endpoint("pool-1", "pool");
 			EndpointStandIn stage = endpoint("stage-1", "stage");
 			stage.fault(EndpointStandIn.Fault.EXPIRE_INPUTS);
@@ -237,7 +237,7 @@
 		}
 
 		@Test
-		void aBrokenStreamGoesOnElsewhereWithoutALostOrDoubledEvent() throws Exception {
+		void aBrokenStreamIsResumedAtAnotherEndpointWithoutLostOrDuplicateEvents() throws Exception {
 			endpoint("pool-1", "pool").fault(EndpointStandIn.Fault.BREAK_STREAM);
 			endpoint("pool-2", "pool").fault(EndpointStandIn.Fault.NONE);
 			endpoint("stage-1", "stage");
@@ -250,15 +250,15 @@
 		}
 
 		@Test
-		void aCallerThatLeavesEndsTheWorkOfItsEndpoint() throws Exception {
+		void aCallerThatDisconnectsCancelsTheCallToItsEndpoint() throws Exception {
 			EndpointStandIn engine = endpoint("pool-1", "pool");
 			endpoint("stage-1", "stage");
 			startVms(1);
 			engine.workMs(300);
-			CompletableFuture<HttpResponse<String>> left = EntryVmTests.this.installation
+			CompletableFuture<HttpResponse<String>> disconnected = EntryVmTests.this.installation
 				.sendAsync(EntryVmTests.this.installation.pipeline(0));
 			Installation.await(() -> engine.runs() == 1);
-			left.cancel(true);
+			disconnected.cancel(true);
 			Installation.await(() -> engine.brokenWrites() == 1);
 		}
 
@@ -313,25 +313,25 @@
 	}
 
 	@Nested
-	class TurnedAway {
+	class RelayedRecords {
 
 		@Test
-		void aVmThatTheStoreTurnsAwayLearnsFromItsPeers() throws Exception {
+		void aVmThatTheStoreRefusesGetsRecordsFromItsPeers() throws Exception {
 			endpoint("core-1", "core");
 			EntryVmTests.this.installation.vm("vm-0");
-			try (StoreStandIn closed = new StoreStandIn()) {
-				closed.fault(StoreStandIn.Fault.BUSY);
-				EntryVmTests.this.installation.vm("vm-1", closed);
+			try (StoreStandIn refusing = new StoreStandIn()) {
+				refusing.fault(StoreStandIn.Fault.BUSY);
+				EntryVmTests.this.installation.vm("vm-1", refusing);
 				EntryVmTests.this.installation.store()
 					.put(CallerWire.MEMBER_TOPIC, "vm-1", EntryVmTests.this.installation.peerAddress(1));
 				EntryVmTests.this.installation.awaitReady();
 				EntryVmTests.this.installation.store()
 					.put(CallerWire.OPERATOR_TOPIC, "config",
 							CallerWire.CONFIG.formatted(2).replace("\"good\"", "\"new\""));
-				long beganAtMs = System.currentTimeMillis();
+				long startedAtMs = System.currentTimeMillis();
 				while (EntryVmTests.this.installation.send(EntryVmTests.this.installation.attempt(1, "/read/x"))
 					.statusCode() != 401) {
-					assertThat(System.currentTimeMillis() - beganAtMs).isLessThan(4_000);
+					assertThat(System.currentTimeMillis() - startedAtMs).isLessThan(4_000);
 				}
 			}
 		}
@@ -342,7 +342,7 @@
 	class Crashes {
 
 		@Test
-		void aRequestThatCrashesEndpointsIsKeptFromTheOthers() throws Exception {
+		void aRequestThatCrashesEndpointsIsRefusedBeforeAllAreDown() throws Exception {
 			List<EndpointStandIn> cores = new ArrayList<>();
 			for (int i = 0; i < 6; i++) {
 				cores.add(endpoint("core-" + i, "core"));
@@ -355,7 +355,7 @@
 					.statusCode();
 				assertThat(status).isNotEqualTo(200);
 				for (int j = 0; j < 6; j++) {
-					// Other requests find out which endpoints are down.
+					// Calls that fail reveal which endpoints are down.
 					send("/push/x");
 				}
 			}
@@ -369,7 +369,7 @@
 	class Endpoints {
 
 		@Test
-		void aDrainingEndpointGetsNothingAfterAShortTime() throws Exception {
+		void aDrainingEndpointGetsNoNewRequestsAfterAShortTime() throws Exception {
 			EndpointStandIn leaving = endpoint("core-1", "core");
 			endpoint("core-2", "core");
 			startVms(1);
@@ -384,7 +384,7 @@
 		}
 
 		@Test
-		void anEndpointWhoseRecordGoesSoonAfterTheStartGetsNothingMore() throws Exception {
+		void anEndpointThatIsRemovedSoonAfterTheStartGetsNoNewRequests() throws Exception {
 			EndpointStandIn leaving = endpoint("core-1", "core");
 			endpoint("core-2", "core");
 			startVms(1);
@@ -410,7 +410,7 @@
 		}
 
 		@Test
-		void aStoreThatForgetsItsHistoryIsReadAnew() throws Exception {
+		void aCompactedTopicIsListedAgain() throws Exception {
 			endpoint("core-1", "core");
 			startVms(1);
 			EntryVmTests.this.installation.store().fault(StoreStandIn.Fault.DOWN);
@@ -419,10 +419,10 @@
 			endpoint("stage-1", "stage");
 			EntryVmTests.this.installation.store().compact(CallerWire.ENDPOINT_TOPIC);
 			EntryVmTests.this.installation.store().fault(StoreStandIn.Fault.NONE);
-			Installation.await(() -> added.runs() > 0 || triesPipeline());
+			Installation.await(() -> added.runs() > 0 || pipelineSucceeds());
 		}
 
-		private boolean triesPipeline() {
+		private boolean pipelineSucceeds() {
 			try {
 				return EntryVmTests.this.installation.send(EntryVmTests.this.installation.pipeline(0))
 					.statusCode() == 200;
--- a/entry/src/test/java/org/fulmargap/entry/Installation.java
+++ b/entry/src/test/java/org/fulmargap/entry/Installation.java
@@ -19,7 +19,8 @@
 import org.fulmargap.platform.standin.StoreStandIn;
 
 /**
- * Entry VMs, endpoints and a store on the loopback address.
+ * Entry VMs in this process with stand-ins of endpoints and of the store, on the loopback
+ * address.
  */
 final class Installation implements AutoCloseable {
 
@@ -63,7 +64,7 @@
 	}
 
 	/**
-	 * Starts an entry VM that uses another store, of which only this VM knows.
+	 * Starts an entry VM that uses its own store instead of the common one.
 	 */
 	EntryVm vm(String name, StoreStandIn ownStore) throws IOException, InterruptedException {
 		String ip = "127.0.0.1:";
@@ -87,18 +88,17 @@
 	}
 
 	static void await(BooleanSupplier condition) throws InterruptedException {
-		long untilMs = System.currentTimeMillis() + TIMEOUT_MS;
+		long deadlineMs = System.currentTimeMillis() + TIMEOUT_MS;
 		while (!condition.getAsBoolean()) {
-			if (System.currentTimeMillis() > untilMs) {
-				throw new AssertionError("the condition did not come true in time");
+			if (System.currentTimeMillis() > deadlineMs) {
+				throw new AssertionError("the condition was not met in time");
 			}
 			Thread.sleep(20);
 		}
 	}
 
-	// Ports below those that the system gives to outgoing connections, so that none of
-	// these
-	// takes the port between the choice and the use.
+	// Returns a port below the ephemeral range, so that no outgoing connection takes it
+	// before it is used.
 	private static int freePort() throws IOException {
 		IOException last = null;
 		for (int i = 0; i < PORTS; i++) {
--- a/entry/src/test/java/org/fulmargap/entry/LogTableTests.java
+++ b/entry/src/test/java/org/fulmargap/entry/LogTableTests.java
@@ -18,7 +18,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Compares the log lines in the sources with the table in {@code docs/logs.md}.
+ * Checks that the events and fields of the log lines in the sources match the table in
+ * {@code docs/logs.md}.
  */
 class LogTableTests {
 
@@ -33,11 +34,11 @@
 
 	private static final Path ROOT = Path.of(System.getProperty("repository.root"));
 
-	/** A line whose name is put together from this and what changed. */
+	/** The prefix of the events that are named by the change of an endpoint. */
 	private static final String ENDPOINT_EVENT = "endpoint_";
 
 	@Test
-	void theTableNamesEachLineWithItsFields() throws IOException {
+	void theTableListsEachEventWithItsFields() throws IOException {
 		assertThat(documented()).isEqualTo(written());
 	}
 
--- a/entry/src/test/java/org/fulmargap/entry/TopicViewTests.java
+++ b/entry/src/test/java/org/fulmargap/entry/TopicViewTests.java
@@ -24,7 +24,7 @@
 	}
 
 	@Test
-	void anOldRecordDoesNotReplaceWhatAPeerTold() {
+	void anOldRecordDoesNotReplaceANewerOne() {
 		this.view.apply(page(false, 6, record("config", 2, 5)));
 		assertThat(this.view.apply(page(false, 4, record("config", 1, 3))).records()).isEmpty();
 		assertThat(this.view.nextOffset()).isEqualTo(6);
@@ -32,7 +32,7 @@
 	}
 
 	@Test
-	void aPeerGetsWhatItLacks() {
+	void sinceReturnsTheRecordsFromAnOffsetOn() {
 		this.view.apply(page(false, 3, record("one", 1, 0), record("two", 1, 1), record("one", 0, 2)));
 		assertThat(this.view.since(2).records()).extracting(KeyedRecord::key).containsExactly("one");
 		assertThat(this.view.since(-1).records()).extracting(KeyedRecord::key).containsExactly("two");
@@ -40,7 +40,7 @@
 	}
 
 	@Test
-	void keysThatACompleteListingLacksAreRemovals() {
+	void keysThatACompleteListingLacksAreRemoved() {
 		this.view.apply(page(false, 2, record("one", 1, 0), record("two", 1, 1)));
 		StorePage fresh = this.view.apply(page(true, 5, record("two", 1, 1)));
 		assertThat(fresh.records()).extracting(KeyedRecord::key).containsExactly("one");
