--- a/entry/src/main/java/org/fulmargap/entry/EntryVm.java
+++ b/entry/src/main/java/org/fulmargap/entry/EntryVm.java
@@ -40,9 +40,9 @@
 	private static final int MAX_FINGERPRINTS = 1_000;
 
 	/**
-	 * The number of crashed endpoints from which on a request is refused. Reads of one
-	 * path by one account share a fingerprint, and a network failure can break the
-	 * connections of several of them at once.
+	 * The number of crashed endpoints after which a request is refused. It is above the
+	 * default because reads of one path by one account share a fingerprint, and one
+	 * network failure breaks several of them at once.
 	 */
 	private static final int CRASHES_TO_QUARANTINE = 3;
 
--- a/entry/src/main/java/org/fulmargap/entry/StoreTail.java
+++ b/entry/src/main/java/org/fulmargap/entry/StoreTail.java
@@ -9,7 +9,7 @@
 import org.fulmargap.platform.StoreTopic;
 
 /**
- * Reads one topic of the platform's store by long polls on a thread of its own, until the
+ * Reads one topic of the platform's store by long polls on a separate thread, until the
  * thread is interrupted.
  */
 final class StoreTail implements Runnable {
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerNetwork.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerNetwork.java
@@ -182,7 +182,7 @@
 	/**
 	 * Returns the coordinator of a service, as seen by this VM: the one with the highest
 	 * hash of service and name among this VM and the connected peers that are not
-	 * draining.
+	 * draining. A draining VM names itself only if there is no other.
 	 * @param service the name of the service
 	 * @return the name of the coordinator
 	 */
