--- a/server/src/main/java/org/fulmargap/ledger/AppendQueue.java
+++ b/server/src/main/java/org/fulmargap/ledger/AppendQueue.java
@@ -10,17 +10,20 @@
 import org.fulmargap.claim.ClaimView;
 
 /**
- * Records that wait to be appended, in order. A record stays until its append is
- * confirmed or it is seen in the stream.
+ * Records to append to the claims stream, in order. A record is removed when its append
+ * is confirmed or when it was read from the stream.
  */
 final class AppendQueue {
 
-	/** The log accepts 1 MiB; half of it leaves room for characters of several bytes. */
+	/**
+	 * The maximum size of a batch in characters. The log accepts 1 MiB per append; less
+	 * than half of it leaves space for characters that take several bytes.
+	 */
 	private static final int MAX_BATCH_CHARS = 400 * 1024;
 
 	private static final int MAX_BATCH_RECORDS = 512;
 
-	/** The value tells whether the record was part of an append that may have arrived. */
+	/** The value is whether the record was part of a batch, so that it may be stored. */
 	private final Map<ClaimRecord, Boolean> records = new LinkedHashMap<>();
 
 	synchronized void add(ClaimRecord record) {
@@ -30,7 +33,7 @@
 	/**
 	 * Removes a record.
 	 * @param record the record
-	 * @return whether the record may be in the stream
+	 * @return {@code true} if the record may be in the stream
 	 */
 	synchronized boolean remove(ClaimRecord record) {
 		Boolean sent = this.records.remove(record);
@@ -59,12 +62,13 @@
 	 * Removes the records that the ledger has read from the stream.
 	 * @param ledger the ledger
 	 */
-	synchronized void removeSeen(ClaimLedger ledger) {
-		this.records.keySet().removeIf((record) -> isSeen(record, ledger));
+	synchronized void removeStored(ClaimLedger ledger) {
+		this.records.keySet().removeIf((record) -> isStored(record, ledger));
 	}
 
 	/**
-	 * Removes checkpoints. They are planned anew from the ledger after a failed append.
+	 * Removes checkpoints and coverage records. After a failed append, the records that
+	 * are still due are computed again from the ledger.
 	 */
 	synchronized void removeCheckpoints() {
 		this.records.keySet()
@@ -75,7 +79,7 @@
 		return this.records.isEmpty();
 	}
 
-	private static boolean isSeen(ClaimRecord record, ClaimLedger ledger) {
+	private static boolean isStored(ClaimRecord record, ClaimLedger ledger) {
 		if (record instanceof ClaimRecord.Claim claim) {
 			return ledger.hasSeen(claim.key(), claim.attemptId());
 		}
--- a/server/src/main/java/org/fulmargap/ledger/ClaimActions.java
+++ b/server/src/main/java/org/fulmargap/ledger/ClaimActions.java
@@ -4,26 +4,27 @@
 import org.fulmargap.claim.ClaimView;
 
 /**
- * What {@link ClaimTable} asks of its surroundings. Called without the lock.
+ * Calls from {@link ClaimTable} to the claim service. All except {@link #createHandle}
+ * are made without the lock of the table.
  */
 interface ClaimActions {
 
 	void resolve(ClaimAttempt attempt);
 
-	void giveUp(ClaimAttempt attempt);
+	void timeOut(ClaimAttempt attempt);
 
-	void holdEnded(ClaimAttempt attempt);
+	void holdExpired(ClaimAttempt attempt);
 
-	void ownerSilent(ClaimAttempt attempt, String ownerAttemptId);
+	void ownerTimedOut(ClaimAttempt attempt, String ownerAttemptId);
 
-	void askOwner(ClaimAttempt attempt, ClaimView owner, long waitMs);
+	void queryOwner(ClaimAttempt attempt, ClaimView owner, long waitMs);
 
-	void askMembers(ClaimAttempt attempt, long waitMs);
+	void queryMembers(ClaimAttempt attempt, long waitMs);
 
-	void membersSilent(ClaimAttempt attempt);
+	void membersTimedOut(ClaimAttempt attempt);
 
 	void resubmit(ClaimRecord.Claim claim, ClaimAttempt.Joiner joiner);
 
-	ClaimService.Handle handle(ClaimAttempt attempt);
+	ClaimService.Handle createHandle(ClaimAttempt attempt);
 
 }
--- a/server/src/main/java/org/fulmargap/ledger/ClaimAttempt.java
+++ b/server/src/main/java/org/fulmargap/ledger/ClaimAttempt.java
@@ -11,8 +11,8 @@
 import org.fulmargap.request.Deadline;
 
 /**
- * A request of this entry VM that claims a key. Fields change under the lock of
- * {@link ClaimTable}.
+ * An attempt of this entry VM to claim a key for a request. The fields are guarded by the
+ * lock of {@link ClaimTable}.
  */
 final class ClaimAttempt {
 
@@ -28,11 +28,11 @@
 
 	State state = State.WAITING;
 
-	/** Whether the claim record was handed to the append queue. */
+	/** Whether the claim record was added to the append queue. */
 	boolean queued;
 
-	/** The owner that was last asked for the outcome. */
-	String askedAttemptId = "";
+	/** The attempt whose entry VM was last queried for the outcome; empty if none was. */
+	String queriedAttemptId = "";
 
 	RecordedOutcome outcome;
 
@@ -54,7 +54,9 @@
 	 */
 	enum State {
 
-		/** The claim is on its way or another attempt owns the key. */
+		/**
+		 * The claim was not read from the stream yet, or another attempt owns the key.
+		 */
 		WAITING,
 
 		/** The attempt owns the key and has not been dispatched. */
@@ -63,10 +65,10 @@
 		/** The request may have reached an endpoint. */
 		DISPATCHED,
 
-		/** The attempt will never be dispatched; its caller is being answered. */
+		/** Never dispatched: the deadline is near, or a peer has queried the key. */
 		ABANDONED,
 
-		/** The attempt ended without reaching an endpoint. */
+		/** The attempt ended, and no endpoint ran the request. */
 		RELEASED,
 
 		/** The attempt has an outcome. */
@@ -83,11 +85,11 @@
 	}
 
 	/**
-	 * A repeated request that waits for the attempt.
+	 * A retry of the request at this entry VM, which waits for the result of the attempt.
 	 *
-	 * @param attemptId the identity of the repeated request
-	 * @param deadline the deadline of the repeated request
-	 * @param future its result
+	 * @param attemptId the attempt id of the retry
+	 * @param deadline the deadline of the retry
+	 * @param future the result of the retry
 	 */
 	record Joiner(String attemptId, Deadline deadline, CompletableFuture<ClaimService.Result> future) {
 	}
--- a/server/src/main/java/org/fulmargap/ledger/ClaimRefusals.java
+++ b/server/src/main/java/org/fulmargap/ledger/ClaimRefusals.java
@@ -6,14 +6,14 @@
 import org.fulmargap.request.FulmargapException;
 
 /**
- * Answers that the claim service gives without running a request.
+ * Results of claims that do not own their key.
  */
 final class ClaimRefusals {
 
 	private ClaimRefusals() {
 	}
 
-	static ClaimService.Result answer(ClaimAttempt attempt, ClaimView owner, RecordedOutcome outcome) {
+	static ClaimService.Result finishedOrConflict(ClaimAttempt attempt, ClaimView owner, RecordedOutcome outcome) {
 		return owner.digest().equals(attempt.claim.digest()) ? new ClaimService.Result.Finished(outcome) : conflict();
 	}
 
--- a/server/src/main/java/org/fulmargap/ledger/ClaimService.java
+++ b/server/src/main/java/org/fulmargap/ledger/ClaimService.java
@@ -8,7 +8,7 @@
 import org.fulmargap.request.FulmargapException;
 
 /**
- * Makes non-idempotent requests run at most once.
+ * Claims idempotency keys, so that a non-idempotent request runs at most once.
  */
 public interface ClaimService {
 
@@ -16,7 +16,7 @@
 	 * Claims a key, or waits for the outcome of the request that owns it.
 	 * @param key the client account and idempotency key
 	 * @param digest the SHA-256 digest of pipeline and body, in hexadecimal
-	 * @param attemptId the identity of this request, unique for all time
+	 * @param attemptId the identity of this attempt, globally unique and never reused
 	 * @param deadline the deadline of the request
 	 * @return a future that completes by the deadline, never exceptionally
 	 */
@@ -38,7 +38,7 @@
 		/**
 		 * An earlier request with the same key has finished.
 		 *
-		 * @param outcome the recorded answer
+		 * @param outcome the recorded response
 		 */
 		record Finished(RecordedOutcome outcome) implements Result {
 		}
@@ -46,7 +46,7 @@
 		/**
 		 * The request is refused.
 		 *
-		 * @param failure the typed refusal
+		 * @param failure the error to return to the client
 		 */
 		record Refused(FulmargapException failure) implements Result {
 		}
@@ -54,27 +54,28 @@
 	}
 
 	/**
-	 * Controls an owned claim. Exactly one of {@link #complete} and {@link #release} ends
-	 * it.
+	 * Controls an owned claim. A call of either {@link #complete} or {@link #release}
+	 * ends the claim.
 	 */
 	interface Handle {
 
 		/**
 		 * Moves the claim to the dispatched state. Must return {@code true} before the
 		 * first byte is sent to an endpoint, and is called once only.
-		 * @param nowMs the present time in milliseconds since the epoch
-		 * @return {@code false} if the claim was abandoned or its time has passed
+		 * @param nowMs the current time in milliseconds since the epoch
+		 * @return {@code false} if the claim was abandoned, its deadline has passed or
+		 * half of the key lifetime has elapsed
 		 */
 		boolean markDispatched(long nowMs);
 
 		/**
-		 * Records the answer.
-		 * @param outcome the answer
+		 * Records the outcome of the dispatched request.
+		 * @param outcome the response to the client
 		 */
 		void complete(RecordedOutcome outcome);
 
 		/**
-		 * Gives the key free because no endpoint ran the request.
+		 * Releases the key. Must be called only if no endpoint ran the request.
 		 */
 		void release();
 
--- a/server/src/main/java/org/fulmargap/ledger/ClaimTable.java
+++ b/server/src/main/java/org/fulmargap/ledger/ClaimTable.java
@@ -18,27 +18,31 @@
 import org.fulmargap.request.FulmargapException;
 
 /**
- * The claims of one entry VM: its ledger, its own attempts and what it still has to
- * append. Every method takes the lock of the instance; effects outside of it (completed
- * futures, peer queries, timers) are returned and run by the caller without the lock.
+ * The claims of one entry VM: the ledger, the VM's own attempts and the records to
+ * append. Every method holds the lock of the instance. Actions that must run without it
+ * (completing futures, peer queries, timers) are returned, and the caller runs them after
+ * the lock is released.
  */
 final class ClaimTable {
 
 	/**
-	 * The longest time for the peer queries at the end of a log outage. A member that
-	 * answered does not dispatch the key within this time, so that "not run" is still
-	 * true when the answer is given.
+	 * The maximum duration in milliseconds of the queries that ask the members about the
+	 * key of an abandoned attempt. A member that replied does not dispatch the key within
+	 * this time, so that "not run" is still true when the client receives it.
 	 */
-	static final long RESOLVE_MS = 400;
+	static final long RESOLVE_TIMEOUT_MS = 400;
 
-	/** The number of checkpoints per append; each may carry a result of 16 KiB. */
+	/**
+	 * The number of checkpoints at which no further keys are queued. Each checkpoint can
+	 * contain a recorded body of 16 Ki characters.
+	 */
 	private static final int MAX_CHECKPOINTS = 256;
 
 	private final ServiceIdentity identity;
 
 	private final long keyLifetimeMs;
 
-	private final ClaimActions outside;
+	private final ClaimActions actions;
 
 	private final PlatformEvents events;
 
@@ -50,35 +54,36 @@
 
 	private final AppendQueue queue;
 
-	ClaimTable(ServiceIdentity identity, long keyLifetimeMs, ClaimActions outside, AppendQueue queue,
+	ClaimTable(ServiceIdentity identity, long keyLifetimeMs, ClaimActions actions, AppendQueue queue,
 			PlatformEvents events) {
 		this.identity = identity;
 		this.keyLifetimeMs = keyLifetimeMs;
-		this.outside = outside;
+		this.actions = actions;
 		this.queue = queue;
 		this.events = events;
 		this.ledger = new ClaimLedger(keyLifetimeMs);
 	}
 
 	synchronized DeferredActions claim(ClaimAttempt attempt, long nowMs) {
-		DeferredActions effects = new DeferredActions();
+		DeferredActions deferred = new DeferredActions();
 		ClaimKey key = attempt.key();
 		ClaimAttempt running = this.attempts.get(key);
 		if (running != null) {
-			join(running, attempt, nowMs, effects);
-			return effects;
+			join(running, attempt, nowMs, deferred);
+			return deferred;
 		}
 		Optional<ClaimView> owner = this.ledger.owner(key);
 		if (owner.isPresent() && owner.get().outcome().isPresent()) {
-			effects.complete(attempt.future, ClaimRefusals.answer(attempt, owner.get(), owner.get().outcome().get()));
-			return effects;
+			deferred.complete(attempt.future,
+					ClaimRefusals.finishedOrConflict(attempt, owner.get(), owner.get().outcome().get()));
+			return deferred;
 		}
 		this.attempts.put(key, attempt);
 		enqueue(attempt);
-		long resolveMs = Math.min(RESOLVE_MS, attempt.deadline.remainingMs(nowMs) / 3);
-		effects.after(attempt.deadline.remainingMs(nowMs) - resolveMs, () -> this.outside.resolve(attempt));
-		considerOwner(attempt, nowMs, effects);
-		return effects;
+		long resolveMs = Math.min(RESOLVE_TIMEOUT_MS, attempt.deadline.remainingMs(nowMs) / 3);
+		deferred.schedule(attempt.deadline.remainingMs(nowMs) - resolveMs, () -> this.actions.resolve(attempt));
+		checkOwner(attempt, nowMs, deferred);
+		return deferred;
 	}
 
 	synchronized boolean markDispatched(ClaimAttempt attempt, long nowMs) {
@@ -91,99 +96,103 @@
 	}
 
 	synchronized DeferredActions complete(ClaimAttempt attempt, RecordedOutcome outcome) {
-		DeferredActions effects = new DeferredActions();
+		DeferredActions deferred = new DeferredActions();
 		if (attempt.state != State.DISPATCHED) {
-			this.events.violation("claims", "OUTCOME_WITHOUT_DISPATCH", attempt.attemptId() + " " + attempt.state);
-			return effects;
+			this.events.recordViolation("claims", "OUTCOME_WITHOUT_DISPATCH",
+					attempt.attemptId() + " " + attempt.state);
+			return deferred;
 		}
 		attempt.state = State.FINISHED;
 		attempt.outcome = outcome;
 		this.queue.add(new ClaimRecord.Outcome(attempt.key(), attempt.attemptId(), outcome.toRecord()));
 		for (ClaimAttempt.Joiner joiner : attempt.joiners) {
-			effects.complete(joiner.future(), new ClaimService.Result.Finished(outcome));
+			deferred.complete(joiner.future(), new ClaimService.Result.Finished(outcome));
 		}
-		attempt.outcomeWaiters.forEach((waiter) -> effects.complete(waiter, Optional.of(outcome)));
-		return effects;
+		attempt.outcomeWaiters.forEach((waiter) -> deferred.complete(waiter, Optional.of(outcome)));
+		return deferred;
 	}
 
 	synchronized DeferredActions release(ClaimAttempt attempt) {
-		DeferredActions effects = new DeferredActions();
+		DeferredActions deferred = new DeferredActions();
 		if (attempt.state == State.OWNED || attempt.state == State.DISPATCHED) {
-			end(attempt, State.RELEASED, effects);
+			end(attempt, State.RELEASED, deferred);
 		}
-		return effects;
+		return deferred;
 	}
 
-	// Decides about an attempt whose time is nearly over.
+	// Decides about an attempt that still waits shortly before its deadline.
 	synchronized DeferredActions resolve(ClaimAttempt attempt, long nowMs) {
-		DeferredActions effects = new DeferredActions();
+		DeferredActions deferred = new DeferredActions();
 		if (attempt.state != State.WAITING) {
-			return effects;
+			return deferred;
 		}
-		if (isClaimedElsewhere(attempt.key())) {
-			effects.after(Math.max(0, attempt.deadline.remainingMs(nowMs) - 20), () -> this.outside.giveUp(attempt));
+		if (hasOutcomeOrForeignClaim(attempt.key())) {
+			deferred.schedule(Math.max(0, attempt.deadline.remainingMs(nowMs) - 20),
+					() -> this.actions.timeOut(attempt));
 		}
 		else {
-			abandon(attempt, nowMs, effects);
+			abandon(attempt, nowMs, deferred);
 		}
-		return effects;
+		return deferred;
 	}
 
-	synchronized DeferredActions giveUp(ClaimAttempt attempt) {
-		DeferredActions effects = new DeferredActions();
+	synchronized DeferredActions timeOut(ClaimAttempt attempt) {
+		DeferredActions deferred = new DeferredActions();
 		if (attempt.state == State.WAITING) {
-			refuse(attempt, ClaimRefusals.outcomeUnknown("OWNER_RUNNING", "another attempt of the key runs"), effects);
+			refuse(attempt, ClaimRefusals.outcomeUnknown("OWNER_RUNNING", "another attempt of the key runs"), deferred);
 		}
-		return effects;
+		return deferred;
 	}
 
 	synchronized DeferredActions ownerReplied(ClaimAttempt attempt, String ownerAttemptId,
 			Optional<RecordedOutcome> outcome) {
-		DeferredActions effects = new DeferredActions();
+		DeferredActions deferred = new DeferredActions();
 		if (attempt.state != State.WAITING) {
-			return effects;
+			return deferred;
 		}
 		if (outcome.isPresent()) {
-			effects.complete(attempt.future, new ClaimService.Result.Finished(outcome.get()));
-			end(attempt, State.RELEASED, effects);
+			deferred.complete(attempt.future, new ClaimService.Result.Finished(outcome.get()));
+			end(attempt, State.RELEASED, deferred);
 		}
 		else {
-			effects.after(RESOLVE_MS, () -> this.outside.ownerSilent(attempt, ownerAttemptId));
+			deferred.schedule(RESOLVE_TIMEOUT_MS, () -> this.actions.ownerTimedOut(attempt, ownerAttemptId));
 		}
-		return effects;
+		return deferred;
 	}
 
-	// Ends the wait for an owner that did not answer a peer query, unless the stream
-	// brought news in the meantime.
-	synchronized DeferredActions ownerSilent(ClaimAttempt attempt, String ownerAttemptId) {
-		DeferredActions effects = new DeferredActions();
+	// Refuses an attempt whose query to the owner returned no outcome, unless another
+	// attempt owns the key by now.
+	synchronized DeferredActions ownerTimedOut(ClaimAttempt attempt, String ownerAttemptId) {
+		DeferredActions deferred = new DeferredActions();
 		Optional<ClaimView> owner = this.ledger.owner(attempt.key());
 		boolean unchanged = owner.isPresent() && owner.get().attemptId().equals(ownerAttemptId);
 		if (attempt.state == State.WAITING && unchanged) {
 			refuse(attempt, ClaimRefusals.outcomeUnknown("OWNER_UNREACHABLE", "the owner of the key does not answer"),
-					effects);
+					deferred);
 		}
-		return effects;
+		return deferred;
 	}
 
-	// Answers the caller of an abandoned attempt.
-	synchronized DeferredActions resolved(ClaimAttempt attempt, boolean allDeny) {
-		DeferredActions effects = new DeferredActions();
+	// Refuses an abandoned attempt: with NOT_RUN if every member replied that it did not
+	// run the request and the complete ledger holds no outcome and no claim of another
+	// incarnation, otherwise with OUTCOME_UNKNOWN.
+	synchronized DeferredActions finishAbandoned(ClaimAttempt attempt, boolean allReportNotRun) {
+		DeferredActions deferred = new DeferredActions();
 		if (attempt.state != State.ABANDONED) {
-			return effects;
+			return deferred;
 		}
-		boolean notRun = allDeny && this.ledger.isComplete() && !isClaimedElsewhere(attempt.key());
+		boolean notRun = allReportNotRun && this.ledger.isComplete() && !hasOutcomeOrForeignClaim(attempt.key());
 		FulmargapException failure = notRun ? ClaimRefusals.notRun() : ClaimRefusals.outcomeUnknown("LOG_UNAVAILABLE",
 				"the log is unavailable and an earlier attempt may have run");
-		refuse(attempt, failure, effects);
-		return effects;
+		refuse(attempt, failure, deferred);
+		return deferred;
 	}
 
-	// Answers a peer that asks whether the key may have run here, and abandons an attempt
+	// Replies to a peer whether the request may have run here, and abandons an attempt
 	// that was not dispatched.
 	synchronized DeferredActions keyQuery(ClaimKey key, long nowMs, CompletableFuture<PeerNetwork.KeyState> reply) {
-		DeferredActions effects = new DeferredActions();
-		this.holdUntilMs.put(key, nowMs + RESOLVE_MS);
+		DeferredActions deferred = new DeferredActions();
+		this.holdUntilMs.put(key, nowMs + RESOLVE_TIMEOUT_MS);
 		ClaimAttempt attempt = this.attempts.get(key);
 		PeerNetwork.KeyState state = PeerNetwork.KeyState.NONE;
 		if (attempt != null && attempt.state.mayHaveRun()) {
@@ -192,68 +201,69 @@
 		else if (attempt != null) {
 			state = PeerNetwork.KeyState.ABANDONED;
 			if (attempt.state == State.WAITING) {
-				abandon(attempt, nowMs, effects);
+				abandon(attempt, nowMs, deferred);
 			}
 			else if (attempt.state == State.OWNED) {
-				end(attempt, State.ABANDONED, effects);
+				end(attempt, State.ABANDONED, deferred);
 			}
 		}
-		if (!this.ledger.isComplete() || isClaimedElsewhere(key)) {
+		if (!this.ledger.isComplete() || hasOutcomeOrForeignClaim(key)) {
 			state = PeerNetwork.KeyState.DISPATCHED;
 		}
-		PeerNetwork.KeyState answer = state;
-		effects.complete(reply, answer);
-		return effects;
+		PeerNetwork.KeyState replyState = state;
+		deferred.complete(reply, replyState);
+		return deferred;
 	}
 
 	synchronized DeferredActions outcomeQuery(ClaimKey key, long waitMs,
 			CompletableFuture<Optional<RecordedOutcome>> reply) {
-		DeferredActions effects = new DeferredActions();
+		DeferredActions deferred = new DeferredActions();
 		ClaimAttempt attempt = this.attempts.get(key);
 		Optional<RecordedOutcome> recorded = this.ledger.owner(key).flatMap(ClaimView::outcome);
 		if (attempt != null && attempt.outcome != null) {
-			effects.complete(reply, Optional.of(attempt.outcome));
+			deferred.complete(reply, Optional.of(attempt.outcome));
 		}
 		else if (recorded.isPresent() || attempt == null || waitMs <= 0) {
-			effects.complete(reply, recorded);
+			deferred.complete(reply, recorded);
 		}
 		else {
 			attempt.outcomeWaiters.add(reply);
-			effects.after(waitMs, () -> reply.complete(Optional.empty()));
+			deferred.schedule(waitMs, () -> reply.complete(Optional.empty()));
 		}
-		return effects;
+		return deferred;
 	}
 
 	synchronized DeferredActions read(LogPage page, long nowMs) {
-		DeferredActions effects = new DeferredActions();
-		this.ledger.observeBounds(page.firstOffset(), page.nextOffset(), nowMs).forEach(this::note);
+		DeferredActions deferred = new DeferredActions();
+		this.ledger.observeBounds(page.firstOffset(), page.nextOffset(), nowMs).forEach(this::recordEvent);
 		for (LogPage.Entry entry : page.records()) {
-			ClaimLedger.ApplyResult applied = this.ledger.apply(entry.offset(), entry.appendedAtMs(), entry.value(),
+			ClaimLedger.ApplyResult result = this.ledger.apply(entry.offset(), entry.appendedAtMs(), entry.value(),
 					nowMs);
-			applied.events().forEach(this::note);
-			for (ClaimKey key : applied.changed()) {
+			result.events().forEach(this::recordEvent);
+			for (ClaimKey key : result.changed()) {
 				ClaimAttempt attempt = this.attempts.get(key);
 				if (attempt != null) {
-					applied(attempt, nowMs, effects);
+					claimsChanged(attempt, nowMs, deferred);
 				}
 			}
 		}
-		return effects;
+		return deferred;
 	}
 
 	synchronized DeferredActions reachedEnd(long nowMs) {
-		DeferredActions effects = new DeferredActions();
-		this.queue.removeSeen(this.ledger);
+		DeferredActions deferred = new DeferredActions();
+		this.queue.removeStored(this.ledger);
 		if (this.ledger.tryComplete(nowMs)) {
-			note(new ClaimEvent(ClaimEvent.Type.COMPLETE, this.ledger.nextOffset(), this.ledger.size() + " keys"));
+			recordEvent(
+					new ClaimEvent(ClaimEvent.Type.COMPLETE, this.ledger.nextOffset(), this.ledger.size() + " keys"));
 			for (ClaimAttempt attempt : List.copyOf(this.attempts.values())) {
 				if (attempt.state == State.WAITING) {
 					enqueue(attempt);
-					considerOwner(attempt, nowMs, effects);
+					checkOwner(attempt, nowMs, deferred);
 				}
 			}
 		}
-		return effects;
+		return deferred;
 	}
 
 	synchronized void expire(long nowMs) {
@@ -261,16 +271,17 @@
 		this.holdUntilMs.values().removeIf((until) -> until < nowMs);
 	}
 
-	synchronized DeferredActions holdEnded(ClaimAttempt attempt, long nowMs) {
-		DeferredActions effects = new DeferredActions();
-		considerOwner(attempt, nowMs, effects);
-		return effects;
+	synchronized DeferredActions holdExpired(ClaimAttempt attempt, long nowMs) {
+		DeferredActions deferred = new DeferredActions();
+		checkOwner(attempt, nowMs, deferred);
+		return deferred;
 	}
 
-	// Queues the records that keep live claims readable despite retention.
-	synchronized boolean planCheckpoints(boolean turn) {
+	// Returns whether checkpoints are due, and queues them if appendNow is set. They keep
+	// live claims readable after retention has removed their first records.
+	synchronized boolean planCheckpoints(boolean appendNow) {
 		List<ClaimRecord> due = this.ledger.checkpointsDue(MAX_CHECKPOINTS);
-		if (turn) {
+		if (appendNow) {
 			due.forEach(this.queue::add);
 		}
 		return !due.isEmpty();
@@ -291,111 +302,112 @@
 		}
 	}
 
-	private void join(ClaimAttempt running, ClaimAttempt repeat, long nowMs, DeferredActions effects) {
-		if (!running.claim.digest().equals(repeat.claim.digest())) {
-			effects.complete(repeat.future, ClaimRefusals.conflict());
+	private void join(ClaimAttempt running, ClaimAttempt retry, long nowMs, DeferredActions deferred) {
+		if (!running.claim.digest().equals(retry.claim.digest())) {
+			deferred.complete(retry.future, ClaimRefusals.conflict());
 		}
 		else if (running.outcome != null) {
-			effects.complete(repeat.future, new ClaimService.Result.Finished(running.outcome));
+			deferred.complete(retry.future, new ClaimService.Result.Finished(running.outcome));
 		}
 		else {
-			running.joiners.add(new ClaimAttempt.Joiner(repeat.attemptId(), repeat.deadline, repeat.future));
-			effects.after(Math.max(0, repeat.deadline.remainingMs(nowMs) - 20),
-					() -> repeat.future.complete(new ClaimService.Result.Refused(ClaimRefusals
+			running.joiners.add(new ClaimAttempt.Joiner(retry.attemptId(), retry.deadline, retry.future));
+			deferred.schedule(Math.max(0, retry.deadline.remainingMs(nowMs) - 20),
+					() -> retry.future.complete(new ClaimService.Result.Refused(ClaimRefusals
 						.outcomeUnknown("STILL_RUNNING", "an earlier request with the same key is still running"))));
 		}
 	}
 
-	private void applied(ClaimAttempt attempt, long nowMs, DeferredActions effects) {
+	private void claimsChanged(ClaimAttempt attempt, long nowMs, DeferredActions deferred) {
 		Optional<ClaimView> owner = this.ledger.owner(attempt.key());
-		boolean own = owner.filter((view) -> view.attemptId().equals(attempt.attemptId())).isPresent();
+		boolean isOwner = owner.filter((view) -> view.attemptId().equals(attempt.attemptId())).isPresent();
 		if (attempt.state == State.WAITING) {
-			considerOwner(attempt, nowMs, effects);
+			checkOwner(attempt, nowMs, deferred);
 		}
-		else if (attempt.state == State.FINISHED && own && owner.get().outcome().isPresent()) {
+		else if (attempt.state == State.FINISHED && isOwner && owner.get().outcome().isPresent()) {
 			this.attempts.remove(attempt.key(), attempt);
 		}
-		else if (attempt.state.mayHaveRun() && !own && this.ledger.isComplete()
+		else if (attempt.state.mayHaveRun() && !isOwner && this.ledger.isComplete()
 				&& nowMs - attempt.claim.claimedAtMs() < this.keyLifetimeMs / 2) {
-			this.events.violation("claims", "DISPATCHED_WITHOUT_OWNERSHIP", attempt.attemptId() + " " + owner);
+			this.events.recordViolation("claims", "DISPATCHED_WITHOUT_OWNERSHIP", attempt.attemptId() + " " + owner);
 		}
 	}
 
-	private void considerOwner(ClaimAttempt attempt, long nowMs, DeferredActions effects) {
+	private void checkOwner(ClaimAttempt attempt, long nowMs, DeferredActions deferred) {
 		Optional<ClaimView> found = this.ledger.owner(attempt.key());
 		if (attempt.state != State.WAITING || found.isEmpty()) {
 			return;
 		}
 		ClaimView owner = found.get();
 		if (owner.attemptId().equals(attempt.attemptId())) {
-			own(attempt, nowMs, effects);
+			takeOwnership(attempt, nowMs, deferred);
 		}
 		else if (owner.outcome().isPresent() || !owner.digest().equals(attempt.claim.digest())) {
-			effects.complete(attempt.future, ClaimRefusals.answer(attempt, owner, owner.outcome().orElse(null)));
-			end(attempt, State.RELEASED, effects);
+			deferred.complete(attempt.future,
+					ClaimRefusals.finishedOrConflict(attempt, owner, owner.outcome().orElse(null)));
+			end(attempt, State.RELEASED, deferred);
 		}
 		else if (!owner.incarnation().equals(this.identity.incarnation())
-				&& !owner.attemptId().equals(attempt.askedAttemptId)) {
-			attempt.askedAttemptId = owner.attemptId();
+				&& !owner.attemptId().equals(attempt.queriedAttemptId)) {
+			attempt.queriedAttemptId = owner.attemptId();
 			long waitMs = Math.max(0, attempt.deadline.remainingMs(nowMs) - 100);
-			effects.add(() -> this.outside.askOwner(attempt, owner, waitMs));
+			deferred.add(() -> this.actions.queryOwner(attempt, owner, waitMs));
 		}
 	}
 
-	private void own(ClaimAttempt attempt, long nowMs, DeferredActions effects) {
+	private void takeOwnership(ClaimAttempt attempt, long nowMs, DeferredActions deferred) {
 		long holdMs = this.holdUntilMs.getOrDefault(attempt.key(), nowMs) - nowMs;
 		if (holdMs > 0) {
-			effects.after(holdMs, () -> this.outside.holdEnded(attempt));
+			deferred.schedule(holdMs, () -> this.actions.holdExpired(attempt));
 		}
 		else if (this.ledger.isComplete() && !attempt.deadline.isPassed(nowMs)) {
 			attempt.state = State.OWNED;
-			effects.complete(attempt.future, new ClaimService.Result.Owned(this.outside.handle(attempt)));
+			deferred.complete(attempt.future, new ClaimService.Result.Owned(this.actions.createHandle(attempt)));
 		}
 	}
 
-	private void abandon(ClaimAttempt attempt, long nowMs, DeferredActions effects) {
+	private void abandon(ClaimAttempt attempt, long nowMs, DeferredActions deferred) {
 		attempt.state = State.ABANDONED;
-		withdraw(attempt);
-		long waitMs = Math.min(RESOLVE_MS, attempt.deadline.remainingMs(nowMs)) * 3 / 4;
-		effects.after(attempt.deadline.remainingMs(nowMs) - 10, () -> this.outside.membersSilent(attempt));
-		effects.add(() -> this.outside.askMembers(attempt, waitMs));
+		cancelClaim(attempt);
+		long waitMs = Math.min(RESOLVE_TIMEOUT_MS, attempt.deadline.remainingMs(nowMs)) * 3 / 4;
+		deferred.schedule(attempt.deadline.remainingMs(nowMs) - 10, () -> this.actions.membersTimedOut(attempt));
+		deferred.add(() -> this.actions.queryMembers(attempt, waitMs));
 	}
 
-	private void refuse(ClaimAttempt attempt, FulmargapException failure, DeferredActions effects) {
+	private void refuse(ClaimAttempt attempt, FulmargapException failure, DeferredActions deferred) {
 		ClaimService.Result refused = new ClaimService.Result.Refused(failure);
-		effects.complete(attempt.future, refused);
-		attempt.joiners.forEach((joiner) -> effects.complete(joiner.future(), refused));
+		deferred.complete(attempt.future, refused);
+		attempt.joiners.forEach((joiner) -> deferred.complete(joiner.future(), refused));
 		attempt.joiners.clear();
-		end(attempt, State.RELEASED, effects);
+		end(attempt, State.RELEASED, deferred);
 	}
 
-	private void end(ClaimAttempt attempt, State state, DeferredActions effects) {
+	private void end(ClaimAttempt attempt, State state, DeferredActions deferred) {
 		if (attempt.state != State.ABANDONED) {
-			withdraw(attempt);
+			cancelClaim(attempt);
 		}
 		attempt.state = state;
 		this.attempts.remove(attempt.key(), attempt);
-		attempt.outcomeWaiters.forEach((waiter) -> effects.complete(waiter, Optional.empty()));
+		attempt.outcomeWaiters.forEach((waiter) -> deferred.complete(waiter, Optional.empty()));
 		List<ClaimAttempt.Joiner> joiners = new ArrayList<>(attempt.joiners);
 		attempt.joiners.clear();
-		joiners.forEach((joiner) -> effects.add(() -> this.outside.resubmit(attempt.claim, joiner)));
+		joiners.forEach((joiner) -> deferred.add(() -> this.actions.resubmit(attempt.claim, joiner)));
 	}
 
-	private void withdraw(ClaimAttempt attempt) {
+	private void cancelClaim(ClaimAttempt attempt) {
 		if (attempt.queued && this.queue.remove(attempt.claim)) {
 			this.queue.add(new ClaimRecord.Release(attempt.key(), attempt.attemptId()));
 		}
 	}
 
-	private boolean isClaimedElsewhere(ClaimKey key) {
+	private boolean hasOutcomeOrForeignClaim(ClaimKey key) {
 		return this.ledger.claims(key)
 			.stream()
 			.anyMatch(
 					(claim) -> claim.outcome().isPresent() || !claim.incarnation().equals(this.identity.incarnation()));
 	}
 
-	private void note(ClaimEvent event) {
-		this.events.note("claims", event.type(), event.type().isViolation(), event.type().isRoutine(),
+	private void recordEvent(ClaimEvent event) {
+		this.events.recordEvent("claims", event.type(), event.type().isViolation(), event.type().isRoutine(),
 				"offset " + event.offset() + ": " + event.detail());
 	}
 
--- a/server/src/main/java/org/fulmargap/ledger/ConfigService.java
+++ b/server/src/main/java/org/fulmargap/ledger/ConfigService.java
@@ -7,19 +7,19 @@
 import org.fulmargap.config.Configuration;
 
 /**
- * Gives access to the configuration in force and accepts patches.
+ * Provides the configuration in force and accepts patches.
  */
 public interface ConfigService {
 
 	/**
 	 * Returns the configuration in force.
-	 * @return an immutable view; requests keep the view that they started with
+	 * @return an immutable view; a request uses one view from start to end
 	 */
 	View current();
 
 	/**
 	 * Proposes a patch and waits for the decision.
-	 * @param patchId the identity of the patch, unique for all time
+	 * @param patchId the identity of the patch, globally unique and never reused
 	 * @param expectedVersion the version that the patch applies to
 	 * @param mergePatch a JSON Merge Patch (RFC 7396)
 	 * @return a future with the decision, never completed exceptionally
@@ -27,13 +27,14 @@
 	CompletableFuture<Decision> patch(String patchId, long expectedVersion, JsonNode mergePatch);
 
 	/**
-	 * Configuration as one entry VM knows it.
+	 * The configuration as known to one entry VM.
 	 *
 	 * @param version the version in force
 	 * @param configuration the configuration in force
-	 * @param pending the configuration that a pending patch would bring, if this entry VM
-	 * is in doubt about it
-	 * @param known whether the version is current as far as this entry VM can know
+	 * @param pending the configuration that a pending patch would put in force, present
+	 * while this entry VM is in doubt about the patch
+	 * @param known whether this entry VM has a state that is not behind the version of a
+	 * peer; a short lag after a commit does not count
 	 */
 	record View(long version, Configuration configuration, Optional<Configuration> pending, boolean known) {
 	}
@@ -44,7 +45,8 @@
 	 * @param accepted whether the patch is in force
 	 * @param version the version in force after the decision
 	 * @param refusal why the patch was refused, empty if it was accepted
-	 * @param message a text for people; names the members that did not acknowledge
+	 * @param message a human-readable message; names the members that did not acknowledge
+	 * the patch
 	 */
 	record Decision(boolean accepted, long version, Optional<PatchRefusal> refusal, String message) {
 	}
@@ -66,10 +68,10 @@
 		/** Not every member acknowledged the patch in time. */
 		NOT_ACKNOWLEDGED(503),
 
-		/** The log could not be reached, and nothing was proposed. */
+		/** The log was unavailable, and the patch was not proposed. */
 		LOG_UNAVAILABLE(503),
 
-		/** The log stopped answering after the proposal. */
+		/** The log stopped responding after the proposal. */
 		DECISION_UNKNOWN(502);
 
 		private final int httpStatus;
--- a/server/src/main/java/org/fulmargap/ledger/ConfigSettings.java
+++ b/server/src/main/java/org/fulmargap/ledger/ConfigSettings.java
@@ -3,10 +3,13 @@
 /**
  * Settings of the configuration service.
  *
- * @param patchTimeoutMs after what time the proposer gives up a patch
- * @param snapshotEveryMs the age above which a snapshot is replaced if records follow it
- * @param snapshotRecords the number of following records above which it is replaced
- * @param snapshotRankMs by how much longer each member waits than the one before it
+ * @param patchTimeoutMs the age in milliseconds above which the proposer aborts a patch
+ * @param snapshotEveryMs the age in milliseconds above which a snapshot is replaced if
+ * records follow it
+ * @param snapshotRecords the number of following records above which a snapshot is
+ * replaced
+ * @param snapshotRankMs how much longer, in milliseconds, each member waits than the
+ * member before it until it appends a snapshot that is due
  */
 public record ConfigSettings(long patchTimeoutMs, long snapshotEveryMs, int snapshotRecords, long snapshotRankMs) {
 
@@ -15,15 +18,17 @@
 	 */
 	public ConfigSettings {
 		if (patchTimeoutMs <= 0 || snapshotEveryMs <= 0 || snapshotRecords <= 0 || snapshotRankMs < 0) {
-			throw new IllegalArgumentException("times and counts must be positive");
+			throw new IllegalArgumentException(
+					"patchTimeoutMs, snapshotEveryMs and snapshotRecords must be positive, snapshotRankMs not negative");
 		}
 	}
 
 	/**
 	 * Creates settings with the default number of records and rank delay.
-	 * @param patchTimeoutMs after what time the proposer gives up a patch
-	 * @param snapshotEveryMs the age above which a snapshot is replaced if records follow
-	 * it
+	 * @param patchTimeoutMs the age in milliseconds above which the proposer aborts a
+	 * patch
+	 * @param snapshotEveryMs the age in milliseconds above which a snapshot is replaced
+	 * if records follow it
 	 * @return the settings
 	 */
 	public static ConfigSettings of(long patchTimeoutMs, long snapshotEveryMs) {
--- a/server/src/main/java/org/fulmargap/ledger/ConfigTable.java
+++ b/server/src/main/java/org/fulmargap/ledger/ConfigTable.java
@@ -21,14 +21,16 @@
 import org.fulmargap.ledger.ConfigService.PatchRefusal;
 
 /**
- * The configuration as one entry VM knows it, and what it still has to append. Every
- * method takes the lock of the instance; effects outside of it are returned.
+ * The configuration as known to one entry VM, and the records that it has to append.
+ * Every method holds the lock of the instance. Actions that must run without it are
+ * returned, and the caller runs them after the lock is released.
  */
 final class ConfigTable {
 
 	/**
-	 * A peer is ahead for up to a poll interval after every commit. Only a longer lag
-	 * means that this entry VM misses a version.
+	 * The lag in milliseconds behind the version of a peer that is tolerated. A peer can
+	 * be ahead for up to one poll interval after each commit; a longer lag means that
+	 * this entry VM has missed a version.
 	 */
 
 	private static final long TOLERATED_LAG_MS = 1_000;
@@ -43,7 +45,7 @@
 
 	private final Map<String, PatchProposal> proposals = new HashMap<>();
 
-	private final Set<ConfigRecord> wanted = new LinkedHashSet<>();
+	private final Set<ConfigRecord> requested = new LinkedHashSet<>();
 
 	private boolean leaving;
 
@@ -74,21 +76,21 @@
 	}
 
 	synchronized void read(LogPage page, long nowMs) {
-		this.ledger.observeBounds(page.firstOffset(), page.nextOffset()).forEach((event) -> note(event, nowMs));
+		this.ledger.observeBounds(page.firstOffset(), page.nextOffset()).forEach((event) -> recordEvent(event, nowMs));
 		for (LogPage.Entry entry : page.records()) {
 			this.ledger.apply(entry.offset(), entry.appendedAtMs(), entry.value())
-				.forEach((event) -> note(event, nowMs));
+				.forEach((event) -> recordEvent(event, nowMs));
 		}
 	}
 
 	synchronized DeferredActions reachedEnd(long nowMs) {
 		this.reachedEnd = true;
-		return settle(nowMs);
+		return completeProposals(nowMs);
 	}
 
-	// Completes proposals that are decided or out of time.
-	synchronized DeferredActions settle(long nowMs) {
-		DeferredActions effects = new DeferredActions();
+	// Completes the proposals that are decided or timed out.
+	synchronized DeferredActions completeProposals(long nowMs) {
+		DeferredActions deferred = new DeferredActions();
 		ConfigState state = this.ledger.state();
 		String pending = state.pending().map(PendingPatch::patchId).orElse("");
 		if (!pending.equals(this.pendingPatchId)) {
@@ -101,50 +103,50 @@
 			proposal.sent |= isPending(proposal);
 			long ageMs = nowMs - proposal.record.proposedAtMs();
 			if (decided.isPresent()) {
-				finish(proposal, decision(decided.get()), effects);
+				finish(proposal, decision(decided.get()), deferred);
 			}
 			else if (!proposal.sent && ageMs > this.settings.patchTimeoutMs()) {
 				finish(proposal, refusal(PatchRefusal.LOG_UNAVAILABLE, "the log does not answer; nothing was proposed"),
-						effects);
+						deferred);
 			}
 			else if (ageMs > 3 * this.settings.patchTimeoutMs()) {
-				finish(proposal, refusal(PatchRefusal.DECISION_UNKNOWN, "the log stopped answering"), effects);
+				finish(proposal, refusal(PatchRefusal.DECISION_UNKNOWN, "the log stopped answering"), deferred);
 			}
 		}
 		checkVersion(state.version());
-		return effects;
+		return deferred;
 	}
 
-	synchronized DeferredActions propose(PatchProposal proposal, boolean logAnswers) {
-		DeferredActions effects = new DeferredActions();
+	synchronized DeferredActions propose(PatchProposal proposal, boolean logResponsive) {
+		DeferredActions deferred = new DeferredActions();
 		String patchId = proposal.record.patchId();
 		Optional<PatchDecision> decided = this.ledger.state().decision(patchId);
 		PatchProposal running = this.proposals.get(patchId);
 		if (decided.isPresent()) {
-			effects.complete(proposal.future, decision(decided.get()));
+			deferred.complete(proposal.future, decision(decided.get()));
 		}
 		else if (running != null) {
 			running.future.thenAccept(proposal.future::complete);
 		}
-		else if (!logAnswers || !this.ledger.isFollowing()) {
-			effects.complete(proposal.future,
+		else if (!logResponsive || !this.ledger.isFollowing()) {
+			deferred.complete(proposal.future,
 					refusal(PatchRefusal.LOG_UNAVAILABLE, "the log does not answer; nothing was proposed"));
 		}
 		else {
 			this.proposals.put(patchId, proposal);
 		}
-		return effects;
+		return deferred;
 	}
 
-	synchronized void want(ConfigRecord record) {
-		this.wanted.add(record);
+	synchronized void request(ConfigRecord record) {
+		this.requested.add(record);
 	}
 
 	synchronized void leave() {
 		this.leaving = true;
 	}
 
-	// Chooses the record that this entry VM should append now.
+	// Returns the record that this entry VM should append now.
 	synchronized Optional<ConfigRecord> nextRecord(long nowMs) {
 		if (!this.ledger.isFollowing() || !this.reachedEnd) {
 			return Optional.empty();
@@ -156,19 +158,18 @@
 					: new ConfigRecord.Join(new Member(this.identity.vm(), this.identity.incarnation(),
 							this.identity.failureDomain())));
 		}
-		this.wanted.removeIf((record) -> isInForce(record, state));
-		if (!this.wanted.isEmpty()) {
-			return Optional.of(this.wanted.iterator().next());
+		this.requested.removeIf((record) -> isInForce(record, state));
+		if (!this.requested.isEmpty()) {
+			return Optional.of(this.requested.iterator().next());
 		}
 		Optional<ConfigRecord> patchRecord = state.pending().isPresent() ? pendingRecord(state.pending().get(), nowMs)
 				: Optional.empty();
 		return patchRecord.or(this::nextProposal).or(() -> snapshot(state, nowMs));
 	}
 
-	// Marks a record as handed to the log, which may store it even if it answers with an
-	// error.
-	// @param record the record
-	// @return whether the record may still be sent
+	// Marks a proposal as sent before its append, because the log may store it and still
+	// return an error. Returns false if the proposal is already completed and must not be
+	// appended.
 	synchronized boolean beginAppend(ConfigRecord record) {
 		if (record instanceof ConfigRecord.Propose propose) {
 			PatchProposal proposal = this.proposals.get(propose.patchId());
@@ -180,18 +181,18 @@
 		return true;
 	}
 
-	synchronized void notSent(ConfigRecord record) {
+	synchronized void markNotSent(ConfigRecord record) {
 		if (record instanceof ConfigRecord.Propose propose) {
 			Optional.ofNullable(this.proposals.get(propose.patchId())).ifPresent((proposal) -> proposal.sent = false);
 		}
 	}
 
-	synchronized void appended(ConfigRecord record) {
-		this.wanted.remove(record);
+	synchronized void markAppended(ConfigRecord record) {
+		this.requested.remove(record);
 	}
 
-	synchronized boolean install(ConfigRecord.Snapshot copy, long nowMs) {
-		boolean installed = this.ledger.install(copy);
+	synchronized boolean install(ConfigRecord.Snapshot snapshot, long nowMs) {
+		boolean installed = this.ledger.install(snapshot);
 		if (installed) {
 			this.lastRemovalAtMs = nowMs;
 		}
@@ -263,7 +264,7 @@
 			this.snapshotDueSinceMs = nowMs;
 		}
 		int rank = new ArrayList<>(state.members().keySet()).indexOf(this.identity.vm());
-		// Members of a higher rank wait longer, so that usually one snapshot is appended.
+		// Members of a higher rank wait longer, so that usually only one appends.
 		long jitterMs = Math.floorMod(this.identity.incarnation().hashCode() + this.ledger.nextOffset(), 100);
 		if (nowMs - this.snapshotDueSinceMs < rank * this.settings.snapshotRankMs() + jitterMs) {
 			return Optional.empty();
@@ -277,15 +278,15 @@
 
 	private boolean isInForce(ConfigRecord record, ConfigState state) {
 		if (record instanceof ConfigRecord.Order order) {
-			OrderRegister present = state.orders().get(order.order().target());
-			return present != null && present.merge(order.order()).equals(present);
+			OrderRegister current = state.orders().get(order.order().target());
+			return current != null && current.merge(order.order()).equals(current);
 		}
 		return record instanceof ConfigRecord.Evict evict && !state.isMember(evict.vm(), evict.incarnation());
 	}
 
-	private void finish(PatchProposal proposal, Decision decision, DeferredActions effects) {
+	private void finish(PatchProposal proposal, Decision decision, DeferredActions deferred) {
 		this.proposals.remove(proposal.record.patchId());
-		effects.complete(proposal.future, decision);
+		deferred.complete(proposal.future, decision);
 	}
 
 	private Decision decision(PatchDecision decided) {
@@ -300,17 +301,17 @@
 
 	private void checkVersion(long version) {
 		if (version < this.publishedVersion) {
-			this.events.violation("config", "VERSION_REVERTED", this.publishedVersion + " to " + version);
+			this.events.recordViolation("config", "VERSION_REVERTED", this.publishedVersion + " to " + version);
 		}
 		this.publishedVersion = Math.max(version, this.publishedVersion);
 	}
 
-	private void note(ConfigEvent event, long nowMs) {
+	private void recordEvent(ConfigEvent event, long nowMs) {
 		if (event.type() == ConfigEvent.Type.REMOVED || event.type() == ConfigEvent.Type.JOINED
 				|| event.type() == ConfigEvent.Type.SNAPSHOT_INSTALLED) {
 			this.lastRemovalAtMs = nowMs;
 		}
-		this.events.note("config", event.type(), event.type().isViolation(), event.type().isRoutine(),
+		this.events.recordEvent("config", event.type(), event.type().isViolation(), event.type().isRoutine(),
 				"offset " + event.offset() + ": " + event.detail());
 	}
 
--- a/server/src/main/java/org/fulmargap/ledger/DeferredActions.java
+++ b/server/src/main/java/org/fulmargap/ledger/DeferredActions.java
@@ -8,7 +8,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Actions that follow from a decision under a lock and run after the lock is released.
+ * Actions that are collected under a lock and run after the lock is released.
  */
 final class DeferredActions {
 
@@ -26,7 +26,7 @@
 		this.tasks.add(task);
 	}
 
-	void after(long delayMs, Runnable task) {
+	void schedule(long delayMs, Runnable task) {
 		this.delayed.add(new Delayed(Math.max(0, delayMs), task));
 	}
 
@@ -35,7 +35,8 @@
 		this.tasks.forEach(DeferredActions::run);
 	}
 
-	// A task that fails, for example a peer query, must not keep the others from running.
+	// A task that fails, for example a peer query, must not prevent the others from
+	// running.
 	private static void run(Runnable task) {
 		try {
 			task.run();
--- a/server/src/main/java/org/fulmargap/ledger/HttpPlatformLog.java
+++ b/server/src/main/java/org/fulmargap/ledger/HttpPlatformLog.java
@@ -12,7 +12,7 @@
 import org.fulmargap.config.Json;
 
 /**
- * Platform log over HTTP.
+ * HTTP client of the platform's log.
  */
 public final class HttpPlatformLog implements PlatformLog {
 
@@ -25,7 +25,8 @@
 	/**
 	 * Creates a client.
 	 * @param client the HTTP client whose threads and connections are used
-	 * @param baseUrl the base URL of the log, for example {@code http://127.0.0.1:7000}
+	 * @param baseUrl the base URL of the platform, for example
+	 * {@code http://127.0.0.1:7000}
 	 */
 	public HttpPlatformLog(OkHttpClient client, String baseUrl) {
 		this.http = new PlatformHttp(client);
@@ -35,10 +36,10 @@
 	@Override
 	public long append(String stream, JsonNode value) throws IOException {
 		RequestBody body = RequestBody.create(Json.mapper().writeValueAsBytes(value), JSON);
-		JsonNode answer = this.http.call(new Request.Builder().url(records(stream).build()).post(body).build());
-		JsonNode offset = answer.path("offset");
+		JsonNode response = this.http.call(new Request.Builder().url(records(stream).build()).post(body).build());
+		JsonNode offset = response.path("offset");
 		if (!offset.isIntegralNumber()) {
-			throw new IOException("the answer to an append has no offset");
+			throw new IOException("the response to the append has no offset");
 		}
 		return offset.asLong();
 	}
--- a/server/src/main/java/org/fulmargap/ledger/HttpVmDirectory.java
+++ b/server/src/main/java/org/fulmargap/ledger/HttpVmDirectory.java
@@ -12,7 +12,7 @@
 import org.fulmargap.config.Json;
 
 /**
- * The platform's list of VMs over HTTP.
+ * HTTP client of the platform's list of VMs.
  */
 public final class HttpVmDirectory implements VmDirectory {
 
@@ -36,9 +36,9 @@
 
 	@Override
 	public Map<String, VmState> read() throws IOException {
-		JsonNode answer = this.http.call(new Request.Builder().url(this.url).build());
+		JsonNode response = this.http.call(new Request.Builder().url(this.url).build());
 		Map<String, VmState> vms = new HashMap<>();
-		for (JsonNode vm : answer.path("vms")) {
+		for (JsonNode vm : response.path("vms")) {
 			vms.put(vm.path("vm").asText(), Json.mapper().treeToValue(vm.path("state"), VmState.class));
 		}
 		return Map.copyOf(vms);
--- a/server/src/main/java/org/fulmargap/ledger/LogClaimService.java
+++ b/server/src/main/java/org/fulmargap/ledger/LogClaimService.java
@@ -21,26 +21,30 @@
 import org.fulmargap.request.Deadline;
 
 /**
- * Claims keys through the claims stream of the platform's log. One thread, the caller of
- * {@link #pump()}, talks to the log; it has at most one append in flight.
+ * Claims keys through the claims stream of the platform's log. Only the thread that calls
+ * {@link #poll()} calls the log, with at most one append in flight.
  */
 public final class LogClaimService implements ClaimService, AutoCloseable {
 
 	/** The name of the stream. */
 	public static final String STREAM = "claims";
 
-	private static final long MIN_SPACING_MS = 5;
+	private static final long MIN_APPEND_INTERVAL_MS = 5;
 
 	/**
-	 * Appends per second of all members together. The log takes several hundred a second,
-	 * and the configuration stream and other users of the log need some of them.
+	 * The maximum number of appends per second of all members together. The log accepts
+	 * several hundred per second and also serves the configuration stream and other
+	 * clients.
 	 */
 	private static final long APPENDS_PER_SECOND = 200;
 
-	/** How often the need for checkpoints is checked, and the delay between members. */
-	private static final long CHECKPOINT_EVERY_MS = 500;
+	/**
+	 * The interval in milliseconds between checks for due checkpoints, and how much
+	 * longer each member waits than the member before it until it appends them.
+	 */
+	private static final long CHECKPOINT_INTERVAL_MS = 500;
 
-	private static final long EXPIRE_EVERY_MS = 10_000;
+	private static final long EXPIRY_INTERVAL_MS = 10_000;
 
 	private final PlatformLog log;
 
@@ -75,8 +79,8 @@
 	/**
 	 * Creates a service. It does nothing until {@link #start()}.
 	 * @param log the log
-	 * @param peers the connections to the other entry VMs; asked for at each use
-	 * @param members the members
+	 * @param peers supplies the connections to the other entry VMs; called for each query
+	 * @param members the entry VMs that may hold claims
 	 * @param identity the identity of this process
 	 * @param keyLifetimeMs how long a key is remembered, in milliseconds
 	 * @param clock the time source, milliseconds since the epoch
@@ -93,9 +97,9 @@
 		this.clock = Objects.requireNonNull(clock, "clock");
 		this.timers = Objects.requireNonNull(timers, "timers");
 		this.events = new PlatformEvents(metrics);
-		this.table = new ClaimTable(identity, keyLifetimeMs, new Calls(), this.queue, this.events);
-		this.tailer = new LogTailer(log, STREAM, new Pages());
-		this.thread = new PollThread("claims-log", clock, this::pump);
+		this.table = new ClaimTable(identity, keyLifetimeMs, new TableActions(), this.queue, this.events);
+		this.tailer = new LogTailer(log, STREAM, new PageReader());
+		this.thread = new PollThread("claims-log", clock, this::poll);
 	}
 
 	/**
@@ -116,11 +120,11 @@
 	}
 
 	/**
-	 * Answers a peer that asks whether a key may have run here. An attempt that was not
-	 * dispatched is abandoned first.
+	 * Answers the query of a peer whether the request of a key may have run. An attempt
+	 * of this entry VM that was not dispatched is abandoned first.
 	 * @param key the key
-	 * @return the answer; {@code DISPATCHED} also if this entry VM cannot rule out that
-	 * the request ran
+	 * @return the state of the key; also {@code DISPATCHED} if the ledger is incomplete
+	 * or holds an outcome or a claim of another incarnation
 	 */
 	public PeerNetwork.KeyState answerKeyQuery(ClaimKey key) {
 		CompletableFuture<PeerNetwork.KeyState> reply = new CompletableFuture<>();
@@ -129,7 +133,7 @@
 	}
 
 	/**
-	 * Answers a peer that asks for the outcome of a request that runs here.
+	 * Answers the query of a peer for the outcome of a request of this entry VM.
 	 * @param key the key
 	 * @param waitMs the longest wait in milliseconds
 	 * @return a future with the outcome, or empty if none is known after the wait
@@ -141,7 +145,7 @@
 	}
 
 	/**
-	 * Tells whether claims can be decided.
+	 * Returns whether the ownership of keys can be decided.
 	 * @return {@code true} if the ledger holds every live claim
 	 */
 	public boolean isComplete() {
@@ -149,35 +153,36 @@
 	}
 
 	/**
-	 * Tells whether every record of this entry VM has reached the log.
-	 * @return {@code true} if nothing waits to be appended
+	 * Returns whether every record of this entry VM was appended.
+	 * @return {@code true} if no record is waiting to be appended
 	 */
 	public boolean isFlushed() {
 		return this.queue.isEmpty();
 	}
 
 	/**
-	 * Does the work with the log that is due: at most one append and a read.
+	 * Makes the calls to the log that are due: an append followed by a read, or a read
+	 * only. Also expires claims and queues checkpoints.
 	 * @return when the next call is due, milliseconds since the epoch
 	 */
-	long pump() {
+	long poll() {
 		long nowMs = this.clock.getAsLong();
 		if (!this.queue.isEmpty() && !this.tailer.isFailing() && nowMs >= this.nextAppendAtMs) {
 			append(nowMs);
 		}
 		else if (nowMs >= this.tailer.nextPollAtMs()) {
-			readOn(nowMs);
+			readToEnd(nowMs);
 		}
 		if (nowMs >= this.nextExpiryAtMs) {
 			this.table.expire(nowMs);
-			this.nextExpiryAtMs = nowMs + EXPIRE_EVERY_MS;
+			this.nextExpiryAtMs = nowMs + EXPIRY_INTERVAL_MS;
 		}
 		if (nowMs >= this.nextCheckpointAtMs) {
 			planCheckpoints(nowMs);
-			this.nextCheckpointAtMs = nowMs + CHECKPOINT_EVERY_MS;
+			this.nextCheckpointAtMs = nowMs + CHECKPOINT_INTERVAL_MS;
 		}
-		boolean appendWaits = !this.queue.isEmpty() && !this.tailer.isFailing();
-		return appendWaits ? Math.min(this.nextAppendAtMs, this.tailer.nextPollAtMs()) : this.tailer.nextPollAtMs();
+		boolean appendPending = !this.queue.isEmpty() && !this.tailer.isFailing();
+		return appendPending ? Math.min(this.nextAppendAtMs, this.tailer.nextPollAtMs()) : this.tailer.nextPollAtMs();
 	}
 
 	@Override
@@ -187,37 +192,38 @@
 
 	private void append(long nowMs) {
 		List<ClaimRecord> batch = this.queue.takeBatch();
-		this.nextAppendAtMs = nowMs + spacingMs();
+		this.nextAppendAtMs = nowMs + appendIntervalMs();
 		try {
 			this.log.append(STREAM, ClaimBatch.toJson(batch));
 			this.queue.confirm(batch);
 			this.events.count("claims.appends");
 		}
 		catch (IOException ex) {
-			this.events.logFailed(STREAM, "append", ex);
-			this.tailer.noteFailure(nowMs);
+			this.events.recordLogFailure(STREAM, "append", ex);
+			this.tailer.backOff(nowMs);
 			this.queue.removeCheckpoints();
 			return;
 		}
-		readOn(this.clock.getAsLong());
+		readToEnd(this.clock.getAsLong());
 	}
 
-	private void readOn(long nowMs) {
+	private void readToEnd(long nowMs) {
 		try {
-			this.tailer.readOn(nowMs);
+			this.tailer.readToEnd(nowMs);
 			apply(this.table.reachedEnd(nowMs));
 		}
 		catch (IOException ex) {
-			this.events.logFailed(STREAM, "read", ex);
+			this.events.recordLogFailure(STREAM, "read", ex);
 		}
 	}
 
 	private void planCheckpoints(long nowMs) {
-		// Each member waits longer than the one before it, so that usually one writes.
+		// Each member waits longer than the member before it, so that usually only one
+		// appends the checkpoints.
 		int rank = new TreeSet<>(this.members.vms()).headSet(this.identity.vm()).size();
-		boolean turn = this.checkpointDueSinceMs >= 0
-				&& nowMs - this.checkpointDueSinceMs >= rank * CHECKPOINT_EVERY_MS;
-		if (!this.table.planCheckpoints(turn)) {
+		boolean appendNow = this.checkpointDueSinceMs >= 0
+				&& nowMs - this.checkpointDueSinceMs >= rank * CHECKPOINT_INTERVAL_MS;
+		if (!this.table.planCheckpoints(appendNow)) {
 			this.checkpointDueSinceMs = -1;
 		}
 		else if (this.checkpointDueSinceMs < 0) {
@@ -225,26 +231,26 @@
 		}
 	}
 
-	private long spacingMs() {
-		return Math.max(MIN_SPACING_MS, this.members.vms().size() * 1000L / APPENDS_PER_SECOND);
+	private long appendIntervalMs() {
+		return Math.max(MIN_APPEND_INTERVAL_MS, this.members.vms().size() * 1000L / APPENDS_PER_SECOND);
 	}
 
-	private void apply(DeferredActions effects) {
-		effects.apply(this.timers);
+	private void apply(DeferredActions deferred) {
+		deferred.apply(this.timers);
 	}
 
-	private boolean allDeny(Collection<String> asked, Map<String, PeerNetwork.KeyState> replies) {
-		// Claims of a member that has gone can only be found in the stream, so it must
-		// have been read to its end since.
+	private boolean allReportNotRun(Collection<String> queried, Map<String, PeerNetwork.KeyState> replies) {
+		// Claims of a removed member can be found only in the stream, which must have
+		// been read to the end since the removal.
 		return this.members.lastRemovalAtMs() < this.tailer.reachedEndAtMs()
 				&& this.members.vms().contains(this.identity.vm())
-				&& asked.stream().allMatch((vm) -> replies.containsKey(vm) && replies.get(vm).isNotRun());
+				&& queried.stream().allMatch((vm) -> replies.containsKey(vm) && replies.get(vm).isNotRun());
 	}
 
 	/**
-	 * Passes pages to the table.
+	 * Passes the pages of the stream to the table.
 	 */
-	private final class Pages implements LogTailer.Reader {
+	private final class PageReader implements LogTailer.Reader {
 
 		@Override
 		public long nextOffset() {
@@ -259,9 +265,9 @@
 	}
 
 	/**
-	 * Calls from the table to the surroundings.
+	 * Executes the actions of the table.
 	 */
-	private final class Calls implements ClaimActions {
+	private final class TableActions implements ClaimActions {
 
 		@Override
 		public void resolve(ClaimAttempt attempt) {
@@ -269,22 +275,22 @@
 		}
 
 		@Override
-		public void giveUp(ClaimAttempt attempt) {
-			apply(LogClaimService.this.table.giveUp(attempt));
+		public void timeOut(ClaimAttempt attempt) {
+			apply(LogClaimService.this.table.timeOut(attempt));
 		}
 
 		@Override
-		public void holdEnded(ClaimAttempt attempt) {
-			apply(LogClaimService.this.table.holdEnded(attempt, now()));
+		public void holdExpired(ClaimAttempt attempt) {
+			apply(LogClaimService.this.table.holdExpired(attempt, now()));
 		}
 
 		@Override
-		public void ownerSilent(ClaimAttempt attempt, String ownerAttemptId) {
-			apply(LogClaimService.this.table.ownerSilent(attempt, ownerAttemptId));
+		public void ownerTimedOut(ClaimAttempt attempt, String ownerAttemptId) {
+			apply(LogClaimService.this.table.ownerTimedOut(attempt, ownerAttemptId));
 		}
 
 		@Override
-		public void askOwner(ClaimAttempt attempt, ClaimView owner, long waitMs) {
+		public void queryOwner(ClaimAttempt attempt, ClaimView owner, long waitMs) {
 			LogClaimService.this.peers.get()
 				.queryOutcome(owner.incarnation(), attempt.key(), waitMs)
 				.thenAccept((outcome) -> apply(
@@ -292,21 +298,21 @@
 		}
 
 		@Override
-		public void askMembers(ClaimAttempt attempt, long waitMs) {
+		public void queryMembers(ClaimAttempt attempt, long waitMs) {
 			List<String> others = LogClaimService.this.members.vms()
 				.stream()
 				.filter((vm) -> !vm.equals(LogClaimService.this.identity.vm()))
 				.toList();
 			long startedAtMs = now();
 			LogClaimService.this.peers.get().queryKey(others, attempt.key(), waitMs).thenAccept((replies) -> {
-				boolean inTime = now() - startedAtMs <= ClaimTable.RESOLVE_MS;
-				apply(LogClaimService.this.table.resolved(attempt, inTime && allDeny(others, replies)));
+				boolean inTime = now() - startedAtMs <= ClaimTable.RESOLVE_TIMEOUT_MS;
+				apply(LogClaimService.this.table.finishAbandoned(attempt, inTime && allReportNotRun(others, replies)));
 			});
 		}
 
 		@Override
-		public void membersSilent(ClaimAttempt attempt) {
-			apply(LogClaimService.this.table.resolved(attempt, false));
+		public void membersTimedOut(ClaimAttempt attempt) {
+			apply(LogClaimService.this.table.finishAbandoned(attempt, false));
 		}
 
 		@Override
@@ -319,7 +325,7 @@
 		}
 
 		@Override
-		public Handle handle(ClaimAttempt attempt) {
+		public Handle createHandle(ClaimAttempt attempt) {
 			return new AttemptHandle(attempt);
 		}
 
--- a/server/src/main/java/org/fulmargap/ledger/LogConfigService.java
+++ b/server/src/main/java/org/fulmargap/ledger/LogConfigService.java
@@ -21,8 +21,8 @@
 import org.fulmargap.config.PatchDecision;
 
 /**
- * Agrees on the configuration through the configuration stream of the platform's log. One
- * thread, the caller of {@link #pump()}, talks to the log.
+ * Agrees with the other entry VMs on the configuration, through the configuration stream
+ * of the platform's log. Only the thread that calls {@link #poll()} calls the log.
  */
 public final class LogConfigService implements ConfigService, MemberDirectory, AutoCloseable {
 
@@ -30,13 +30,13 @@
 	public static final String STREAM = "config";
 
 	/**
-	 * The time without an answer of the log after which a pending patch may have been
-	 * decided without this entry VM: ten poll intervals, so that a slow answer does not
-	 * count.
+	 * The time in milliseconds since the last complete read of the stream after which a
+	 * pending patch may have been decided without this entry VM. Ten poll intervals, so
+	 * that one slow response does not count.
 	 */
 	private static final long IN_DOUBT_AFTER_MS = 1_000;
 
-	private static final int MAX_APPENDS_PER_PUMP = 16;
+	private static final int MAX_APPENDS_PER_POLL = 16;
 
 	private final PlatformLog log;
 
@@ -72,12 +72,12 @@
 		this.timers = Objects.requireNonNull(timers, "timers");
 		this.events = new PlatformEvents(metrics);
 		this.table = new ConfigTable(identity, settings, this.events);
-		this.tailer = new LogTailer(log, STREAM, new Pages());
-		this.thread = new PollThread("config-log", clock, this::pump);
+		this.tailer = new LogTailer(log, STREAM, new PageReader());
+		this.thread = new PollThread("config-log", clock, this::poll);
 	}
 
 	/**
-	 * Starts to follow the stream and joins.
+	 * Starts to follow the stream and joins the members.
 	 */
 	public void start() {
 		this.thread.start();
@@ -86,7 +86,7 @@
 	@Override
 	public View current() {
 		long nowMs = this.clock.getAsLong();
-		return this.table.view(nowMs, isLogSilent(nowMs));
+		return this.table.view(nowMs, isLogUnresponsive(nowMs));
 	}
 
 	@Override
@@ -94,15 +94,16 @@
 		long nowMs = this.clock.getAsLong();
 		PatchProposal proposal = new PatchProposal(
 				new ConfigRecord.Propose(patchId, expectedVersion, mergePatch.deepCopy(), nowMs));
-		this.table.propose(proposal, !isLogSilent(nowMs)).apply(this.timers);
+		this.table.propose(proposal, !isLogUnresponsive(nowMs)).apply(this.timers);
 		this.thread.wake();
 		return proposal.future;
 	}
 
 	/**
-	 * Finds the decision about a patch.
+	 * Returns the decision about a patch.
 	 * @param patchId the identity of the patch
-	 * @return the decision, or empty if the patch is pending, unknown or too old
+	 * @return the decision, or empty if the patch is pending or unknown, or its decision
+	 * is no longer retained
 	 */
 	public Optional<PatchDecision> decision(String patchId) {
 		return state().decision(patchId);
@@ -135,24 +136,25 @@
 	}
 
 	/**
-	 * Tells whether this incarnation has joined.
-	 * @return {@code true} if its join was applied
+	 * Returns whether this incarnation is a member.
+	 * @return {@code true} if its join was applied and it was not removed since
 	 */
 	public boolean isMember() {
 		return this.table.isMember();
 	}
 
 	/**
-	 * Tells whether the log has not answered for a while.
-	 * @return {@code true} if the last successful read is too old
+	 * Returns whether the stream could not be read to its end for a while.
+	 * @return {@code true} if the last complete read began more than 1 s ago, or if there
+	 * was none
 	 */
-	public boolean isLogSilent() {
-		return isLogSilent(this.clock.getAsLong());
+	public boolean isLogUnresponsive() {
+		return isLogUnresponsive(this.clock.getAsLong());
 	}
 
 	/**
 	 * Registers a listener that is called with each new state, from the thread that reads
-	 * the log.
+	 * the log or calls {@link #installCopy}.
 	 * @param listener the listener; it must not block
 	 */
 	public void onChange(Consumer<ConfigState> listener) {
@@ -160,29 +162,29 @@
 	}
 
 	/**
-	 * Appends an administrative order once the log can be reached, unless a later order
-	 * for the same target is there already.
+	 * Appends an administrative order as soon as the log is available, unless the state
+	 * already contains this order or a later one for the same target.
 	 * @param order the order
 	 */
 	public void append(OrderRegister order) {
-		this.table.want(new ConfigRecord.Order(order));
+		this.table.request(new ConfigRecord.Order(order));
 		this.thread.wake();
 	}
 
 	/**
-	 * Appends the eviction of a member once the log can be reached.
+	 * Appends the eviction of a member as soon as the log is available.
 	 * @param vm the name of the entry VM
 	 * @param incarnation the incarnation to remove
-	 * @param reason a text for people
+	 * @param reason a human-readable reason
 	 */
 	public void evict(String vm, String incarnation, String reason) {
-		this.table.want(new ConfigRecord.Evict(vm, incarnation, reason));
+		this.table.request(new ConfigRecord.Evict(vm, incarnation, reason));
 		this.thread.wake();
 	}
 
 	/**
 	 * Ends the membership at a graceful shutdown. The record is appended as soon as the
-	 * log can be reached; {@link #isMember()} tells whether it was applied.
+	 * log is available; {@link #isMember()} returns {@code false} once it was applied.
 	 */
 	public void leave() {
 		this.table.leave();
@@ -190,17 +192,17 @@
 	}
 
 	/**
-	 * Returns a copy of the state for a peer.
-	 * @return the copy as JSON, or empty if this entry VM does not know a state
+	 * Returns a snapshot of the state for a peer.
+	 * @return the snapshot as JSON, or empty if this entry VM has no current state
 	 */
 	public Optional<JsonNode> exportCopy() {
 		return this.table.export().map(ConfigRecord::toJson);
 	}
 
 	/**
-	 * Takes over a copy from a peer if it is newer than the own state.
-	 * @param copy the copy that {@link #exportCopy()} returned at the peer
-	 * @return whether the copy was taken over
+	 * Installs a snapshot from a peer if it is newer than the state of this entry VM.
+	 * @param copy the snapshot that {@link #exportCopy()} returned at the peer
+	 * @return {@code true} if the snapshot was installed
 	 */
 	public boolean installCopy(JsonNode copy) {
 		try {
@@ -212,13 +214,13 @@
 			return installed;
 		}
 		catch (JsonProcessingException ex) {
-			this.events.logFailed(STREAM, "install_copy", ex);
+			this.events.recordLogFailure(STREAM, "install_copy", ex);
 			return false;
 		}
 	}
 
 	/**
-	 * Notes the version that a peer reports. While it is higher than the own one, the
+	 * Records the version that a peer reported. If this entry VM stays below it, its
 	 * configuration does not count as known.
 	 * @param version the version of the peer
 	 */
@@ -232,21 +234,21 @@
 	}
 
 	/**
-	 * Does the work with the log that is due.
+	 * Makes the calls to the log that are due and completes proposals.
 	 * @return when the next call is due, milliseconds since the epoch
 	 */
-	long pump() {
+	long poll() {
 		long nowMs = this.clock.getAsLong();
 		if (nowMs >= this.tailer.nextPollAtMs()) {
-			readOn(nowMs);
+			readToEnd(nowMs);
 		}
-		for (int i = 0; i < MAX_APPENDS_PER_PUMP && !this.tailer.isFailing(); i++) {
+		for (int i = 0; i < MAX_APPENDS_PER_POLL && !this.tailer.isFailing(); i++) {
 			Optional<ConfigRecord> record = this.table.nextRecord(this.clock.getAsLong());
 			if (record.isEmpty() || !append(record.get())) {
 				break;
 			}
 		}
-		this.table.settle(this.clock.getAsLong()).apply(this.timers);
+		this.table.completeProposals(this.clock.getAsLong()).apply(this.timers);
 		return this.tailer.nextPollAtMs();
 	}
 
@@ -256,33 +258,33 @@
 		}
 		try {
 			this.log.append(STREAM, record.toJson());
-			this.table.appended(record);
+			this.table.markAppended(record);
 		}
 		catch (ConnectException ex) {
-			this.table.notSent(record);
-			return failed(ex);
+			this.table.markNotSent(record);
+			return appendFailed(ex);
 		}
 		catch (IOException ex) {
-			return failed(ex);
+			return appendFailed(ex);
 		}
-		return readOn(this.clock.getAsLong());
+		return readToEnd(this.clock.getAsLong());
 	}
 
-	private boolean failed(IOException failure) {
-		this.events.logFailed(STREAM, "append", failure);
-		this.tailer.noteFailure(this.clock.getAsLong());
+	private boolean appendFailed(IOException failure) {
+		this.events.recordLogFailure(STREAM, "append", failure);
+		this.tailer.backOff(this.clock.getAsLong());
 		return false;
 	}
 
-	private boolean readOn(long nowMs) {
+	private boolean readToEnd(long nowMs) {
 		try {
-			this.tailer.readOn(nowMs);
+			this.tailer.readToEnd(nowMs);
 			this.table.reachedEnd(nowMs).apply(this.timers);
 			notifyListeners();
 			return true;
 		}
 		catch (IOException ex) {
-			this.events.logFailed(STREAM, "read", ex);
+			this.events.recordLogFailure(STREAM, "read", ex);
 			return false;
 		}
 	}
@@ -295,15 +297,15 @@
 		}
 	}
 
-	private boolean isLogSilent(long nowMs) {
+	private boolean isLogUnresponsive(long nowMs) {
 		long reached = this.tailer.reachedEndAtMs();
 		return reached == Long.MIN_VALUE || nowMs - reached > IN_DOUBT_AFTER_MS;
 	}
 
 	/**
-	 * Passes pages to the table.
+	 * Passes the pages of the stream to the table.
 	 */
-	private final class Pages implements LogTailer.Reader {
+	private final class PageReader implements LogTailer.Reader {
 
 		@Override
 		public long nextOffset() {
--- a/server/src/main/java/org/fulmargap/ledger/LogPage.java
+++ b/server/src/main/java/org/fulmargap/ledger/LogPage.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Part of a stream of the log.
+ * A page of records of a stream, with the bounds of the stream.
  *
  * @param firstOffset the first offset that is retained
  * @param nextOffset the offset that the next append gets
@@ -25,10 +25,9 @@
 	/**
 	 * One record.
 	 *
-	 * @param offset the position in the stream
-	 * @param appendedAtMs when the service stored the record, milliseconds since the
-	 * epoch
-	 * @param value the record
+	 * @param offset the offset in the stream
+	 * @param appendedAtMs when the log stored the record, milliseconds since the epoch
+	 * @param value the content of the record
 	 */
 	public record Entry(@JsonProperty("offset") long offset, @JsonProperty("appended_at_ms") long appendedAtMs,
 			@JsonProperty("value") JsonNode value) {
--- a/server/src/main/java/org/fulmargap/ledger/LogTailer.java
+++ b/server/src/main/java/org/fulmargap/ledger/LogTailer.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 
 /**
- * Follows one stream of the log.
+ * Reads one stream of the log and follows its tail.
  */
 final class LogTailer {
 
@@ -33,11 +33,12 @@
 	}
 
 	/**
-	 * Reads pages until the end of the stream.
-	 * @param nowMs the present time in milliseconds since the epoch
-	 * @throws IOException if the log did not answer
+	 * Reads pages up to the end of the stream and schedules the next poll.
+	 * @param nowMs the current time in milliseconds since the epoch
+	 * @throws IOException if the log did not respond or the page ended before the next
+	 * offset of the stream
 	 */
-	void readOn(long nowMs) throws IOException {
+	void readToEnd(long nowMs) throws IOException {
 		try {
 			LogPage page;
 			do {
@@ -53,16 +54,17 @@
 			this.nextPollAtMs = nowMs + POLL_MS;
 		}
 		catch (IOException ex) {
-			noteFailure(nowMs);
+			backOff(nowMs);
 			throw ex;
 		}
 	}
 
 	/**
-	 * Lengthens the pause before the next poll after a failed call.
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * Delays the next poll after a failed call. The delay doubles with each further
+	 * failure, up to a maximum.
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
-	void noteFailure(long nowMs) {
+	void backOff(long nowMs) {
 		this.backoffMs = Math.min(MAX_BACKOFF_MS, Math.max(POLL_MS, 2 * this.backoffMs));
 		this.nextPollAtMs = nowMs + this.backoffMs;
 	}
@@ -76,15 +78,15 @@
 	}
 
 	/**
-	 * Tells whether the last call failed.
-	 * @return {@code true} while the log does not answer
+	 * Returns whether a call has failed since the last read to the end of the stream.
+	 * @return {@code true} after a failed call, until a read reaches the end
 	 */
 	boolean isFailing() {
 		return this.backoffMs > 0;
 	}
 
 	/**
-	 * Returns when the last read began that reached the end of the stream.
+	 * Returns the start time of the last read that reached the end of the stream.
 	 * @return a time in milliseconds since the epoch, or {@link Long#MIN_VALUE} if no
 	 * read reached the end
 	 */
@@ -93,20 +95,20 @@
 	}
 
 	/**
-	 * Consumer of the pages.
+	 * Receives the pages of the stream.
 	 */
 	interface Reader {
 
 		/**
-		 * Returns the offset to read from.
+		 * Returns the offset of the next record to read.
 		 * @return an offset
 		 */
 		long nextOffset();
 
 		/**
-		 * Takes a page.
+		 * Processes a page.
 		 * @param page the page
-		 * @param nowMs the present time in milliseconds since the epoch
+		 * @param nowMs the current time in milliseconds since the epoch
 		 */
 		void read(LogPage page, long nowMs);
 
--- a/server/src/main/java/org/fulmargap/ledger/PatchProposal.java
+++ b/server/src/main/java/org/fulmargap/ledger/PatchProposal.java
@@ -5,8 +5,8 @@
 import org.fulmargap.config.ConfigRecord;
 
 /**
- * A patch that an operator gave to this entry VM. Fields change under the lock of
- * {@link ConfigTable}.
+ * A patch that an operator submitted to this entry VM. The fields are guarded by the lock
+ * of {@link ConfigTable}.
  */
 final class PatchProposal {
 
--- a/server/src/main/java/org/fulmargap/ledger/PlatformEvents.java
+++ b/server/src/main/java/org/fulmargap/ledger/PlatformEvents.java
@@ -23,22 +23,22 @@
 		this.metrics.counter(name).inc();
 	}
 
-	void note(String stream, Enum<?> type, boolean violation, boolean routine, String detail) {
+	void recordEvent(String stream, Enum<?> type, boolean violation, boolean routine, String detail) {
 		this.metrics.counter(stream + "." + type.name().toLowerCase(Locale.ROOT)).inc();
 		if (violation) {
-			violation(stream, type.name(), detail);
+			recordViolation(stream, type.name(), detail);
 		}
 		else if (!routine) {
 			logger.info("event=stream_record stream={} type={} detail=\"{}\"", stream, type, detail);
 		}
 	}
 
-	void violation(String stream, String type, String detail) {
+	void recordViolation(String stream, String type, String detail) {
 		this.metrics.counter(stream + ".invariant_violations").inc();
 		logger.error("event=invariant_violation stream={} type={} detail=\"{}\"", stream, type, detail);
 	}
 
-	void logFailed(String stream, String action, Exception failure) {
+	void recordLogFailure(String stream, String action, Exception failure) {
 		this.metrics.counter(stream + "." + action + "_failures").inc();
 		logger.warn("event=log_call_failed stream={} action={} error=\"{}\"", stream, action, failure.getMessage());
 	}
--- a/server/src/main/java/org/fulmargap/ledger/PlatformHttp.java
+++ b/server/src/main/java/org/fulmargap/ledger/PlatformHttp.java
@@ -11,14 +11,13 @@
 import org.fulmargap.config.Json;
 
 /**
- * HTTP calls to the platform.
+ * Makes HTTP calls to the platform and parses the JSON responses.
  */
 final class PlatformHttp {
 
 	/**
-	 * The longest time for one call. The log answers in a few milliseconds when it works,
-	 * and requests have deadlines of a few seconds, so that a longer wait would not leave
-	 * time for another try.
+	 * The timeout of one call. A healthy log responds in a few milliseconds, and requests
+	 * have deadlines of a few seconds: a longer timeout would leave no time for a retry.
 	 */
 	private static final Duration CALL_TIMEOUT = Duration.ofMillis(800);
 
@@ -27,7 +26,7 @@
 	private final OkHttpClient client;
 
 	PlatformHttp(OkHttpClient client) {
-		// Repeats are left to the callers, which know whether a repeat is harmless.
+		// Retries are left to the callers, which know whether a call is safe to repeat.
 		this.client = Objects.requireNonNull(client, "client")
 			.newBuilder()
 			.connectTimeout(CONNECT_TIMEOUT)
@@ -39,7 +38,7 @@
 	JsonNode call(Request request) throws IOException {
 		try (Response response = this.client.newCall(request).execute()) {
 			if (!response.isSuccessful()) {
-				throw new IOException("the platform answered with status " + response.code());
+				throw new IOException("the platform responded with HTTP status " + response.code());
 			}
 			return Json.mapper().readTree(response.body().byteStream());
 		}
--- a/server/src/main/java/org/fulmargap/ledger/PlatformLog.java
+++ b/server/src/main/java/org/fulmargap/ledger/PlatformLog.java
@@ -14,18 +14,18 @@
 	 * @param stream the name of the stream
 	 * @param value the record, at most 1 MiB as JSON
 	 * @return the offset of the record
-	 * @throws IOException if the service did not confirm the append
+	 * @throws IOException if the log did not confirm the append
 	 */
 	long append(String stream, JsonNode value) throws IOException;
 
 	/**
 	 * Reads records in offset order.
 	 * @param stream the name of the stream
-	 * @param fromOffset the first offset wanted; an offset that is no longer retained
-	 * yields the records from the first retained one
-	 * @param maxRecords the highest number of records to return
+	 * @param fromOffset the offset to start from; if it is no longer retained, the
+	 * records start at the first retained offset
+	 * @param maxRecords the maximum number of records to return
 	 * @return the records and the bounds of the stream
-	 * @throws IOException if the service did not answer
+	 * @throws IOException if the log did not return a valid page
 	 */
 	LogPage read(String stream, long fromOffset, int maxRecords) throws IOException;
 
--- a/server/src/main/java/org/fulmargap/ledger/PollThread.java
+++ b/server/src/main/java/org/fulmargap/ledger/PollThread.java
@@ -9,7 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Thread that calls a pump whenever it is due or woken.
+ * Thread that runs a task repeatedly. The task returns when its next run is due, in
+ * milliseconds since the epoch; {@link #wake()} runs it earlier.
  */
 final class PollThread implements AutoCloseable {
 
@@ -23,15 +24,15 @@
 
 	private final LongSupplier clock;
 
-	private final LongSupplier pump;
+	private final LongSupplier task;
 
 	private boolean woken;
 
 	private boolean closed;
 
-	PollThread(String name, LongSupplier clock, LongSupplier pump) {
+	PollThread(String name, LongSupplier clock, LongSupplier task) {
 		this.clock = clock;
-		this.pump = pump;
+		this.task = task;
 		this.thread = new Thread(this::run, name);
 		this.thread.setDaemon(true);
 	}
@@ -67,7 +68,7 @@
 		long dueAtMs = this.clock.getAsLong();
 		while (await(dueAtMs)) {
 			try {
-				dueAtMs = this.pump.getAsLong();
+				dueAtMs = this.task.getAsLong();
 			}
 			catch (RuntimeException ex) {
 				logger.error("event=pump_failed thread={}", this.thread.getName(), ex);
--- a/server/src/main/java/org/fulmargap/ledger/ServiceIdentity.java
+++ b/server/src/main/java/org/fulmargap/ledger/ServiceIdentity.java
@@ -6,7 +6,7 @@
  * Identity of the running entry VM process.
  *
  * @param vm the name of the entry VM
- * @param incarnation the incarnation, unique for all time
+ * @param incarnation the incarnation, globally unique and never reused
  * @param failureDomain the failure domain
  */
 public record ServiceIdentity(String vm, String incarnation, String failureDomain) {
--- a/server/src/main/java/org/fulmargap/ledger/VmDirectory.java
+++ b/server/src/main/java/org/fulmargap/ledger/VmDirectory.java
@@ -6,14 +6,14 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * The platform's list of live and leaving VMs. The list may be late.
+ * The platform's list of live and leaving VMs. The list may be out of date.
  */
 public interface VmDirectory {
 
 	/**
 	 * Reads the list.
 	 * @return the state of each listed VM by name
-	 * @throws IOException if the platform did not answer
+	 * @throws IOException if the platform did not return a valid list
 	 */
 	Map<String, VmState> read() throws IOException;
 
@@ -22,7 +22,7 @@
 	 */
 	enum VmState {
 
-		/** The VM runs. */
+		/** The VM is running. */
 		@JsonProperty("live")
 		LIVE,
 
@@ -31,7 +31,7 @@
 		LEAVING;
 
 		/**
-		 * Tells whether endpoints on the VM may get new work.
+		 * Returns whether endpoints on the VM may receive new work.
 		 * @return {@code true} for live VMs
 		 */
 		public boolean takesNewWork() {
--- a/server/src/main/java/org/fulmargap/ledger/package-info.java
+++ b/server/src/main/java/org/fulmargap/ledger/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Access to the platform's log and VM list, and the services built on the log.
+ * Clients of the platform's log and VM list, and the claim and configuration services
+ * that use the log.
  */
 package org.fulmargap.ledger;
--- a/server/src/main/java/org/fulmargap/server/MaintenanceTasks.java
+++ b/server/src/main/java/org/fulmargap/server/MaintenanceTasks.java
@@ -89,7 +89,7 @@
 
 	private void run() {
 		long nowMs = this.clock.getAsLong();
-		boolean silent = this.config.isLogSilent();
+		boolean silent = this.config.isLogUnresponsive();
 		if (!silent) {
 			this.membership.recordLogContact(nowMs);
 		}
--- a/server/src/main/java/org/fulmargap/server/Operations.java
+++ b/server/src/main/java/org/fulmargap/server/Operations.java
@@ -142,7 +142,7 @@
 		if (!this.config.current().known()) {
 			return new Readiness(Optional.of("CONFIG_UNKNOWN"), false);
 		}
-		if (!this.config.isMember() && !this.config.isLogSilent()) {
+		if (!this.config.isMember() && !this.config.isLogUnresponsive()) {
 			return new Readiness(Optional.of("NOT_JOINED"), false);
 		}
 		return new Readiness(Optional.empty(), this.config.isMember() && this.claims.isComplete());
--- a/server/src/test/java/org/fulmargap/ledger/SimulatedVms.java
+++ b/server/src/test/java/org/fulmargap/ledger/SimulatedVms.java
@@ -143,12 +143,12 @@
 		}
 
 		private void pumpConfig() {
-			this.config.pump();
+			this.config.poll();
 			schedule(10, this::pumpConfig);
 		}
 
 		private void pumpClaims() {
-			this.claims.pump();
+			this.claims.poll();
 			schedule(5, this::pumpClaims);
 		}
 
