--- a/server/src/test/java/org/fulmargap/ledger/FakeLog.java
+++ b/server/src/test/java/org/fulmargap/ledger/FakeLog.java
@@ -13,14 +13,14 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Log in memory with faults: outages for each client, lost answers, appends that take
- * effect late, and retention.
+ * In-memory log with injected faults: outages for each client, lost responses, appends
+ * that are stored late, and retention.
  */
 final class FakeLog {
 
 	final Set<String> unreachableFrom = new HashSet<>();
 
-	final Set<String> loseAnswersOf = new HashSet<>();
+	final Set<String> loseResponsesTo = new HashSet<>();
 
 	final Set<String> delayAppendsOf = new HashSet<>();
 
@@ -28,7 +28,7 @@
 
 	private final Map<String, Integer> firstOffsets = new HashMap<>();
 
-	private final List<Delayed> delayed = new ArrayList<>();
+	private final List<Delayed> delayedAppends = new ArrayList<>();
 
 	private final LongSupplier clock;
 
@@ -46,8 +46,8 @@
 	}
 
 	void storeDelayed() {
-		this.delayed.forEach((append) -> store(append.stream(), append.value()));
-		this.delayed.clear();
+		this.delayedAppends.forEach((append) -> store(append.stream(), append.value()));
+		this.delayedAppends.clear();
 	}
 
 	long store(String stream, JsonNode value) {
@@ -64,7 +64,7 @@
 	}
 
 	/**
-	 * The log as one VM reaches it.
+	 * Client of one VM, with the faults that apply to this VM.
 	 */
 	private final class Client implements PlatformLog {
 
@@ -78,12 +78,12 @@
 		public long append(String stream, JsonNode value) throws IOException {
 			check();
 			if (FakeLog.this.delayAppendsOf.contains(this.vm)) {
-				FakeLog.this.delayed.add(new Delayed(stream, value));
-				throw new IOException("time-out");
+				FakeLog.this.delayedAppends.add(new Delayed(stream, value));
+				throw new IOException("timeout");
 			}
 			long offset = store(stream, value);
-			if (FakeLog.this.loseAnswersOf.contains(this.vm)) {
-				throw new IOException("answer lost");
+			if (FakeLog.this.loseResponsesTo.contains(this.vm)) {
+				throw new IOException("response lost");
 			}
 			return offset;
 		}
--- a/server/src/test/java/org/fulmargap/ledger/HttpPlatformLogTests.java
+++ b/server/src/test/java/org/fulmargap/ledger/HttpPlatformLogTests.java
@@ -29,12 +29,12 @@
 import static org.assertj.core.api.Assertions.assertThatExceptionOfType;
 
 /**
- * Guards against HTTP failures of the platform that are taken for answers, and against
- * records that are reported as not sent although they were.
+ * Guards against HTTP errors of the platform that are treated as valid responses, and
+ * against appends that are reported as not sent although the log may have received them.
  */
 class HttpPlatformLogTests {
 
-	private final FakeLog fake = new FakeLog(System::currentTimeMillis);
+	private final FakeLog fakeLog = new FakeLog(System::currentTimeMillis);
 
 	private final ConcurrentLinkedQueue<String> requests = new ConcurrentLinkedQueue<>();
 
@@ -72,23 +72,23 @@
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
 		}
-		byte[] answer = Json.mapper().writeValueAsBytes(answer(exchange, body));
-		exchange.sendResponseHeaders(this.status, answer.length);
-		exchange.getResponseBody().write(answer);
+		byte[] response = Json.mapper().writeValueAsBytes(responseTo(exchange, body));
+		exchange.sendResponseHeaders(this.status, response.length);
+		exchange.getResponseBody().write(response);
 		exchange.close();
 	}
 
-	private synchronized Object answer(HttpExchange exchange, byte[] body) throws IOException {
+	private synchronized Object responseTo(HttpExchange exchange, byte[] body) throws IOException {
 		String path = exchange.getRequestURI().getPath();
 		if (path.equals("/v1/vms")) {
 			return Map.of("observed_at_ms", 1, "vms", List.of(Map.of("vm", "vm1", "state", "leaving")));
 		}
 		String stream = path.split("/")[3];
 		if (exchange.getRequestMethod().equals("POST")) {
-			return Map.of("offset", this.fake.store(stream, Json.mapper().readTree(body)));
+			return Map.of("offset", this.fakeLog.store(stream, Json.mapper().readTree(body)));
 		}
 		String from = exchange.getRequestURI().getQuery().replaceAll("from=(\\d+).*", "$1");
-		return this.fake.clientOf("vm").read(stream, Long.parseLong(from), 100);
+		return this.fakeLog.clientOf("vm").read(stream, Long.parseLong(from), 100);
 	}
 
 	@Nested
@@ -107,14 +107,14 @@
 		}
 
 		@Test
-		void reportsAnErrorStatus() {
+		void throwsForAnErrorStatus() {
 			PlatformLog log = new HttpPlatformLog(HttpPlatformLogTests.this.client, HttpPlatformLogTests.this.url);
 			HttpPlatformLogTests.this.status = 503;
 			assertThatExceptionOfType(IOException.class).isThrownBy(() -> log.read("claims", 0, 1));
 		}
 
 		@Test
-		void saysNotSentOnlyForARefusedConnection() {
+		void throwsConnectExceptionOnlyForARefusedConnection() {
 			PlatformLog log = new HttpPlatformLog(HttpPlatformLogTests.this.client, HttpPlatformLogTests.this.url);
 			HttpPlatformLogTests.this.gate = new CountDownLatch(1);
 			assertThatExceptionOfType(IOException.class)
@@ -144,7 +144,7 @@
 	class Services {
 
 		@Test
-		void claimOverHttpWithTheirOwnThreads() throws Exception {
+		void claimOverHttpInTheirOwnThreads() throws Exception {
 			PlatformLog log = new HttpPlatformLog(HttpPlatformLogTests.this.client, HttpPlatformLogTests.this.url);
 			ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
 			TimerQueue timers = (delayMs, task) -> executor.schedule(task, delayMs, TimeUnit.MILLISECONDS);
--- a/server/src/test/java/org/fulmargap/ledger/LogClaimServiceTests.java
+++ b/server/src/test/java/org/fulmargap/ledger/LogClaimServiceTests.java
@@ -17,7 +17,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against requests that run twice or are wrongly reported as not run.
+ * Guards against requests that run twice, or that are reported as not run although they
+ * may have run, at retries, log outages, lost responses, late appends and restarts.
  */
 class LogClaimServiceTests {
 
@@ -27,7 +28,7 @@
 
 	private final SimulatedVms sim = new SimulatedVms(List.of("vm1", "vm2", "vm3"));
 
-	private int number;
+	private int attemptNumber;
 
 	@BeforeEach
 	void join() {
@@ -39,7 +40,7 @@
 	}
 
 	private CompletableFuture<Result> claim(String vm, String digest) {
-		return this.sim.vms.get(vm).claims.claim(KEY, digest, vm + "/" + this.number++,
+		return this.sim.vms.get(vm).claims.claim(KEY, digest, vm + "/" + this.attemptNumber++,
 				Deadline.after(this.sim.now(), 2_000));
 	}
 
@@ -55,7 +56,7 @@
 		return ((Result.Refused) result.join()).failure().type();
 	}
 
-	private void logDown(boolean down) {
+	private void setLogDown(boolean down) {
 		if (down) {
 			this.sim.log.unreachableFrom.addAll(this.sim.vms.keySet());
 		}
@@ -65,27 +66,27 @@
 	}
 
 	@Nested
-	class Resends {
+	class Retries {
 
 		@Test
 		void atTheSameVmJoinTheRunningRequest() {
 			ClaimService.Handle handle = dispatched("vm1");
-			CompletableFuture<Result> resend = claim("vm1", "digest");
+			CompletableFuture<Result> retry = claim("vm1", "digest");
 			handle.complete(OUTCOME);
-			assertThat(resend.join()).isEqualTo(new Result.Finished(OUTCOME));
+			assertThat(retry.join()).isEqualTo(new Result.Finished(OUTCOME));
 		}
 
 		@Test
-		void elsewhereGetTheOutcomeFromTheOwnerWhileTheLogIsDown() {
+		void atAnotherVmGetTheOutcomeFromTheOwnerWhileTheLogIsDown() {
 			ClaimService.Handle handle = dispatched("vm1");
-			CompletableFuture<Result> resend = claim("vm2", "digest");
+			CompletableFuture<Result> retry = claim("vm2", "digest");
 			sim().runFor(50);
-			logDown(true);
+			setLogDown(true);
 			handle.complete(OUTCOME);
 			sim().runFor(50);
-			assertThat(resend.join()).isEqualTo(new Result.Finished(OUTCOME));
+			assertThat(retry.join()).isEqualTo(new Result.Finished(OUTCOME));
 			assertThat(sim().vms.get("vm1").claims.isFlushed()).isFalse();
-			logDown(false);
+			setLogDown(false);
 			sim().runFor(2_000);
 			assertThat(sim().vms.get("vm1").claims.isFlushed()).isTrue();
 		}
@@ -93,13 +94,13 @@
 		@Test
 		void ofAnotherBodyAreRefused() {
 			dispatched("vm1");
-			CompletableFuture<Result> resend = claim("vm2", "other");
+			CompletableFuture<Result> retry = claim("vm2", "other");
 			sim().runFor(50);
-			assertThat(failure(resend)).isEqualTo(FailureType.KEY_CONFLICT);
+			assertThat(failure(retry)).isEqualTo(FailureType.KEY_CONFLICT);
 		}
 
 		@Test
-		void afterTheOwnerDiedHaveAnUnknownOutcome() {
+		void afterTheOwnerCrashedHaveAnUnknownOutcome() {
 			dispatched("vm1");
 			sim().start("vm1");
 			CompletableFuture<Result> atOther = claim("vm2", "digest");
@@ -127,17 +128,17 @@
 	class Outages {
 
 		@Test
-		void endAsNotRunIfEveryMemberDenies() {
-			logDown(true);
+		void endAsNotRunIfNoMemberRanTheRequest() {
+			setLogDown(true);
 			CompletableFuture<Result> result = claim("vm1", "digest");
 			sim().runFor(2_000);
 			assertThat(failure(result)).isEqualTo(FailureType.NOT_RUN);
 		}
 
 		@Test
-		void endAsUnknownIfAMemberIsSilent() {
-			logDown(true);
-			sim().cutOff.add("vm3");
+		void endAsUnknownIfAMemberDoesNotReply() {
+			setLogDown(true);
+			sim().partitioned.add("vm3");
 			CompletableFuture<Result> result = claim("vm1", "digest");
 			sim().runFor(2_000);
 			assertThat(failure(result)).isEqualTo(FailureType.OUTCOME_UNKNOWN);
@@ -154,8 +155,8 @@
 		}
 
 		@Test
-		void withALostAnswerDoNotClaimTwice() {
-			sim().log.loseAnswersOf.add("vm1");
+		void withALostResponseDoNotClaimTwice() {
+			sim().log.loseResponsesTo.add("vm1");
 			CompletableFuture<Result> result = claim("vm1", "digest");
 			sim().runFor(500);
 			assertThat(result.join()).isInstanceOf(Result.Owned.class);
@@ -163,7 +164,7 @@
 		}
 
 		@Test
-		void leaveNoClaimBehindThatReachedTheLogLate() {
+		void leaveNoClaimIfItsAppendIsStoredLate() {
 			sim().log.delayAppendsOf.add("vm1");
 			CompletableFuture<Result> result = claim("vm1", "digest");
 			sim().runFor(2_000);
@@ -182,7 +183,7 @@
 	class Owners {
 
 		@Test
-		void askedByAPeerNeverDispatchAfterwards() {
+		void queriedByAPeerNeverDispatchAfterwards() {
 			CompletableFuture<Result> result = claim("vm1", "digest");
 			sim().runFor(20);
 			assertThat(sim().vms.get("vm1").claims.answerKeyQuery(KEY)).isEqualTo(KeyState.ABANDONED);
@@ -203,7 +204,7 @@
 	class Appends {
 
 		@Test
-		void carryManyClaimsAtOnce() {
+		void containManyClaims() {
 			List<CompletableFuture<Result>> results = new ArrayList<>();
 			LogClaimService claims = sim().vms.get("vm1").claims;
 			for (int i = 0; i < 50; i++) {
@@ -221,7 +222,7 @@
 	class Restarts {
 
 		@Test
-		void findFinishedKeysThatRetentionPassed() {
+		void findFinishedKeysWhoseRecordsWereRemovedByRetention() {
 			dispatched("vm1").complete(OUTCOME);
 			for (int i = 0; i < 40; i++) {
 				sim().vms.get("vm2").claims.claim(new ClaimKey("account", "k" + i), "digest", "vm2/x" + i,
--- a/server/src/test/java/org/fulmargap/ledger/LogConfigServiceTests.java
+++ b/server/src/test/java/org/fulmargap/ledger/LogConfigServiceTests.java
@@ -17,7 +17,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against accepted patches that are not in force everywhere or that revert.
+ * Guards against accepted patches that are not in force at every member or that are
+ * reverted, at log outages, lost responses, restarts and changes of the members.
  */
 class LogConfigServiceTests {
 
@@ -56,7 +57,7 @@
 		this.sim.runFor(durationMs);
 	}
 
-	private void logDown() {
+	private void makeLogUnreachable() {
 		this.sim.log.unreachableFrom.addAll(this.sim.vms.keySet());
 	}
 
@@ -74,7 +75,7 @@
 		}
 
 		@Test
-		void ofRacingProposersAreAcceptedOnce() {
+		void ofConcurrentProposersAreAcceptedOnce() {
 			CompletableFuture<Decision> first = patch("vm1", "a", 0, 1);
 			CompletableFuture<Decision> second = patch("vm2", "b", 0, 1);
 			run(2_000);
@@ -103,7 +104,7 @@
 
 		@Test
 		void areRefusedWhileTheLogIsDown() {
-			logDown();
+			makeLogUnreachable();
 			run(2_000);
 			assertThat(refusal(patch("vm1", "a", 0, 1))).isEqualTo(PatchRefusal.LOG_UNAVAILABLE);
 		}
@@ -113,14 +114,14 @@
 			sim().log.unreachableFrom.add("vm3");
 			CompletableFuture<Decision> decision = patch("vm1", "a", 0, 1);
 			run(200);
-			logDown();
+			makeLogUnreachable();
 			run(4_000);
 			assertThat(refusal(decision)).isEqualTo(PatchRefusal.DECISION_UNKNOWN);
 			assertThat(config("vm2").current().pending()).isPresent();
 		}
 
 		@Test
-		void ofADeadProposerAreAborted() {
+		void ofAnUnresponsiveProposerAreAborted() {
 			sim().log.unreachableFrom.add("vm3");
 			patch("vm1", "a", 0, 1);
 			run(200);
@@ -131,8 +132,8 @@
 		}
 
 		@Test
-		void areDecidedDespiteLostAnswersAndUnreadableRecords() {
-			sim().log.loseAnswersOf.add("vm1");
+		void areDecidedDespiteLostResponsesAndUnreadableRecords() {
+			sim().log.loseResponsesTo.add("vm1");
 			sim().log.store(LogConfigService.STREAM, Json.mapper().createArrayNode());
 			CompletableFuture<Decision> decision = patch("vm1", "a", 0, 1);
 			run(3_000);
@@ -145,10 +146,10 @@
 	class Restarts {
 
 		@Test
-		void takeACopyFromAPeerWhileTheLogIsDown() {
+		void installACopyFromAPeerWhileTheLogIsDown() {
 			accept("a", 0);
 			run(200);
-			logDown();
+			makeLogUnreachable();
 			sim().start("vm3");
 			run(200);
 			assertThat(config("vm3").current().known()).isFalse();
@@ -158,7 +159,7 @@
 		}
 
 		@Test
-		void doNotTakeAnOlderCopy() {
+		void doNotInstallAnOlderCopy() {
 			Optional<JsonNode> old = config("vm2").exportCopy();
 			accept("a", 0);
 			run(200);
@@ -169,7 +170,7 @@
 		@Test
 		void areNotReadyBelowTheVersionOfAPeer() {
 			accept("a", 0);
-			logDown();
+			makeLogUnreachable();
 			sim().start("vm3");
 			config("vm3").installCopy(config("vm2").exportCopy().orElseThrow());
 			config("vm3").notePeerVersion(2);
@@ -195,8 +196,8 @@
 	class Orders {
 
 		@Test
-		void areAppendedWhenTheLogIsBackAndTheHighestWins() {
-			logDown();
+		void areAppendedAfterTheOutageAndTheHighestCounterIsInForce() {
+			makeLogUnreachable();
 			config("vm1").append(new OrderRegister("endpoint/e1", true, 3, "vm1"));
 			config("vm2").append(new OrderRegister("endpoint/e1", false, 2, "vm2"));
 			run(1_000);
--- a/server/src/test/java/org/fulmargap/ledger/PlatformServicesProperties.java
+++ b/server/src/test/java/org/fulmargap/ledger/PlatformServicesProperties.java
@@ -21,17 +21,17 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Runs three entry VMs over one log with outages, lost and late appends, pauses,
- * retention, restarts and cut-off peers. Guards against a request that runs twice, a
- * false "not run", an answer of another request, a version that moves back, and two
- * documents at one version.
+ * Runs three entry VMs with one log and random faults: outages, lost responses, late
+ * appends, pauses, retention, restarts and partitions. Guards against a request that runs
+ * twice, a false "not run", the outcome of another request, a version that decreases, and
+ * two documents with the same version.
  */
 class PlatformServicesProperties {
 
 	private static final List<String> NAMES = List.of("vm1", "vm2", "vm3");
 
 	@Property(seed = "4201", tries = 60)
-	void keepTheirPromisesUnderFaults(@ForAll Random random) {
+	void keepTheirInvariantsUnderFaults(@ForAll Random random) {
 		new Run(random).run(60_000);
 	}
 
@@ -54,9 +54,9 @@
 
 		private final List<Pending> pending = new ArrayList<>();
 
-		private int number;
+		private int nextNumber;
 
-		private int owned;
+		private int ownedClaims;
 
 		private Throwable failure;
 
@@ -76,29 +76,29 @@
 				assertThat(this.failure).isNull();
 			}
 			assertThat(this.sim.violations()).isZero();
-			assertThat(this.owned).as("claims that were granted").isPositive();
+			assertThat(this.ownedClaims).as("owned claims").isPositive();
 		}
 
 		private void nextRequest() {
 			SimulatedVms.Vm vm = anyVm();
-			if (vm.runs()) {
-				// Keys change every two seconds, so that both new and repeated keys
+			if (vm.isRunning()) {
+				// Keys change every two seconds, so that both new keys and retries
 				// occur.
 				ClaimKey key = new ClaimKey("account", "k" + this.sim.now() / 2_000 + "-" + this.random.nextInt(8));
 				Deadline deadline = Deadline.after(this.sim.now(), 300 + this.random.nextInt(2_500));
 				String digest = (this.random.nextInt(10) == 0) ? "other" : "digest";
-				CompletableFuture<Result> future = vm.claims.claim(key, digest, vm.incarnation + "/" + this.number++,
-						deadline);
+				CompletableFuture<Result> future = vm.claims.claim(key, digest,
+						vm.incarnation + "/" + this.nextNumber++, deadline);
 				this.pending.add(new Pending(vm, future, deadline));
-				future.thenAccept((result) -> answered(vm, key, result)).whenComplete(this::note);
+				future.thenAccept((result) -> checkResult(vm, key, result)).whenComplete(this::recordFailure);
 			}
 			this.sim.at(1 + this.random.nextInt(60), this::nextRequest);
 		}
 
-		private void answered(SimulatedVms.Vm vm, ClaimKey key, Result result) {
-			if (result instanceof Result.Owned grant) {
-				this.owned++;
-				vm.schedule(this.random.nextInt(100), () -> dispatch(vm, key, grant.handle()));
+		private void checkResult(SimulatedVms.Vm vm, ClaimKey key, Result result) {
+			if (result instanceof Result.Owned ownedClaim) {
+				this.ownedClaims++;
+				vm.schedule(this.random.nextInt(100), () -> dispatch(vm, key, ownedClaim.handle()));
 			}
 			else if (result instanceof Result.Finished finished) {
 				assertThat(finished.outcome().body()).isEqualTo(this.executions.get(key));
@@ -119,7 +119,7 @@
 				vm.schedule(5, handle::release);
 			}
 			else {
-				String body = "answer " + this.number++;
+				String body = "answer " + this.nextNumber++;
 				assertThat(this.executions.put(key, body)).as("earlier execution of " + key).isNull();
 				vm.schedule(this.random.nextInt(400), () -> handle.complete(new RecordedOutcome(200, body, false)));
 			}
@@ -127,20 +127,20 @@
 
 		private void nextPatch() {
 			SimulatedVms.Vm vm = anyVm();
-			if (vm.runs()) {
-				String patchId = "patch" + this.number++;
+			if (vm.isRunning()) {
+				String patchId = "patch" + this.nextNumber++;
 				JsonNode patch = Json.mapper()
 					.valueToTree(Map.of("accounts", Map.of("a" + this.random.nextInt(3),
 							Map.of("api_key_sha256", "0".repeat(64), "weight", this.random.nextInt(5)))));
 				long expected = vm.config.current().version();
 				vm.config.patch(patchId, expected, patch)
-					.thenAccept((decision) -> decided(patchId, decision))
-					.whenComplete(this::note);
+					.thenAccept((decision) -> checkDecision(patchId, decision))
+					.whenComplete(this::recordFailure);
 			}
 			this.sim.at(20 + this.random.nextInt(1_500), this::nextPatch);
 		}
 
-		private void decided(String patchId, ConfigService.Decision decision) {
+		private void checkDecision(String patchId, ConfigService.Decision decision) {
 			if (decision.accepted()) {
 				assertThat(this.accepted.put(decision.version(), patchId)).isNull();
 				for (SimulatedVms.Vm vm : this.sim.vms.values()) {
@@ -166,13 +166,13 @@
 			long durationMs = 1 + this.random.nextInt(3_000);
 			FakeLog log = this.sim.log;
 			switch (this.random.nextInt(11)) {
-				case 0 -> during(durationMs, log.unreachableFrom, name);
-				case 1 -> NAMES.forEach((vm) -> during(durationMs, log.unreachableFrom, vm));
-				case 2, 3 -> during(durationMs, log.loseAnswersOf, name);
-				case 4 -> during(durationMs, log.delayAppendsOf, name);
+				case 0 -> injectFor(durationMs, log.unreachableFrom, name);
+				case 1 -> NAMES.forEach((vm) -> injectFor(durationMs, log.unreachableFrom, vm));
+				case 2, 3 -> injectFor(durationMs, log.loseResponsesTo, name);
+				case 4 -> injectFor(durationMs, log.delayAppendsOf, name);
 				case 5 -> log.storeDelayed();
 				case 6 -> this.sim.vms.get(name).pauseFor(durationMs);
-				case 7 -> during(durationMs, this.sim.cutOff, name);
+				case 7 -> injectFor(durationMs, this.sim.partitioned, name);
 				case 8 -> log.retainLast(LogClaimService.STREAM, 5 + this.random.nextInt(40));
 				case 9 -> log.retainLast(LogConfigService.STREAM, 5 + this.random.nextInt(40));
 				default -> restart(name);
@@ -185,21 +185,21 @@
 			SimulatedVms.Vm started = this.sim.vms.get(name);
 			started.schedule(this.random.nextInt(50), () -> {
 				for (SimulatedVms.Vm vm : this.sim.vms.values()) {
-					if (vm.runs() && !this.sim.cutOff.contains(vm.name)) {
+					if (vm.isRunning() && !this.sim.partitioned.contains(vm.name)) {
 						vm.config.exportCopy().ifPresent(started.config::installCopy);
 					}
 				}
 			});
 		}
 
-		private void during(long durationMs, Set<String> set, String name) {
+		private void injectFor(long durationMs, Set<String> set, String name) {
 			set.add(name);
 			this.sim.at(durationMs, () -> set.remove(name));
 		}
 
 		private void checkConfig() {
 			for (SimulatedVms.Vm vm : this.sim.vms.values()) {
-				if (vm.runs() && vm.config.current().known()) {
+				if (vm.isRunning() && vm.config.current().known()) {
 					long version = vm.config.state().version();
 					assertThat(this.documents.computeIfAbsent(version, (key) -> vm.config.state().document()))
 						.isEqualTo(vm.config.state().document());
@@ -210,16 +210,17 @@
 		}
 
 		private void checkFutures() {
-			this.pending.removeIf((entry) -> entry.future().isDone() || entry.vm().dead);
+			this.pending.removeIf((entry) -> entry.future().isDone() || entry.vm().stopped);
 			for (Pending entry : this.pending) {
 				boolean late = entry.deadline().isPassed(this.sim.now() - 50)
 						&& entry.vm().pausedUntilMs < this.sim.now() - 50;
-				assertThat(late).as("answered by the deadline").isFalse();
+				assertThat(late).as("pending after the deadline").isFalse();
 			}
 		}
 
-		// A future would otherwise keep the assertion error of its callback to itself.
-		private void note(Object result, Throwable thrown) {
+		// Keeps the first assertion error of a callback, because a future does not throw
+		// it.
+		private void recordFailure(Object result, Throwable thrown) {
 			this.failure = (this.failure != null) ? this.failure : thrown;
 		}
 
--- a/server/src/test/java/org/fulmargap/ledger/SimulatedVms.java
+++ b/server/src/test/java/org/fulmargap/ledger/SimulatedVms.java
@@ -18,7 +18,7 @@
 import org.fulmargap.peer.PeerNetwork;
 
 /**
- * Several entry VMs in virtual time, in one thread, over one {@link FakeLog}.
+ * Simulates entry VMs that share one {@link FakeLog}, in virtual time and in one thread.
  */
 final class SimulatedVms {
 
@@ -28,7 +28,7 @@
 
 	final Map<String, Vm> vms = new TreeMap<>();
 
-	final Set<String> cutOff = new HashSet<>();
+	final Set<String> partitioned = new HashSet<>();
 
 	final MetricRegistry metrics = new MetricRegistry();
 
@@ -50,11 +50,11 @@
 	}
 
 	void start(String name) {
-		Optional.ofNullable(this.vms.get(name)).ifPresent((vm) -> vm.dead = true);
+		Optional.ofNullable(this.vms.get(name)).ifPresent((vm) -> vm.stopped = true);
 		Vm vm = new Vm(name, name + "-" + ++this.starts);
 		this.vms.put(name, vm);
-		vm.pumpConfig();
-		vm.pumpClaims();
+		vm.pollConfig();
+		vm.pollClaims();
 	}
 
 	void at(long delayMs, Runnable task) {
@@ -70,7 +70,7 @@
 			if (vm != null && vm.pausedUntilMs > this.nowMs) {
 				this.events.add(new Event(vm.pausedUntilMs, event.number(), vm, event.task()));
 			}
-			else if (vm == null || !vm.dead) {
+			else if (vm == null || !vm.stopped) {
 				event.task().run();
 			}
 		}
@@ -103,7 +103,7 @@
 
 		long pausedUntilMs;
 
-		boolean dead;
+		boolean stopped;
 
 		Vm(String name, String incarnation) {
 			this.name = name;
@@ -121,12 +121,13 @@
 		}
 
 		void pauseFor(long durationMs) {
-			// Events were put off to the end of a pause that still lasts.
+			// A shorter pause must not end the current one early: events are already
+			// deferred to its end.
 			this.pausedUntilMs = Math.max(this.pausedUntilMs, now() + durationMs);
 		}
 
-		boolean runs() {
-			return !this.dead && this.pausedUntilMs <= now();
+		boolean isRunning() {
+			return !this.stopped && this.pausedUntilMs <= now();
 		}
 
 		@Override
@@ -142,20 +143,20 @@
 			return this.config.lastRemovalAtMs();
 		}
 
-		private void pumpConfig() {
+		private void pollConfig() {
 			this.config.poll();
-			schedule(10, this::pumpConfig);
+			schedule(10, this::pollConfig);
 		}
 
-		private void pumpClaims() {
+		private void pollClaims() {
 			this.claims.poll();
-			schedule(5, this::pumpClaims);
+			schedule(5, this::pollClaims);
 		}
 
 	}
 
 	/**
-	 * Connections of one VM to the others.
+	 * Peer connections of one VM to the others.
 	 */
 	private final class Peers implements PeerNetwork {
 
@@ -171,7 +172,7 @@
 			CompletableFuture<Optional<RecordedOutcome>> reply = new CompletableFuture<>();
 			this.from.schedule(waitMs, () -> reply.complete(Optional.empty()));
 			for (Vm vm : SimulatedVms.this.vms.values()) {
-				if (vm.incarnation.equals(incarnation) && reaches(vm)) {
+				if (vm.incarnation.equals(incarnation) && isReachable(vm)) {
 					vm.claims.answerOutcomeQuery(key, waitMs)
 						.thenAccept((outcome) -> this.from.schedule(1, () -> reply.complete(outcome)));
 				}
@@ -182,14 +183,14 @@
 		@Override
 		public CompletableFuture<Map<String, KeyState>> queryKey(Collection<String> names, ClaimKey key, long waitMs) {
 			CompletableFuture<Map<String, KeyState>> reply = new CompletableFuture<>();
-			Map<String, KeyState> answers = new HashMap<>();
+			Map<String, KeyState> states = new HashMap<>();
 			for (String name : names) {
 				Vm vm = SimulatedVms.this.vms.get(name);
-				if (vm != null && reaches(vm)) {
-					answers.put(name, vm.claims.answerKeyQuery(key));
+				if (vm != null && isReachable(vm)) {
+					states.put(name, vm.claims.answerKeyQuery(key));
 				}
 			}
-			this.from.schedule((answers.size() == names.size()) ? 2 : waitMs, () -> reply.complete(answers));
+			this.from.schedule((states.size() == names.size()) ? 2 : waitMs, () -> reply.complete(states));
 			return reply;
 		}
 
@@ -200,12 +201,12 @@
 
 		@Override
 		public void close() {
-			// Holds nothing.
+			// There is nothing to close.
 		}
 
-		private boolean reaches(Vm vm) {
-			return vm.runs() && !SimulatedVms.this.cutOff.contains(vm.name)
-					&& !SimulatedVms.this.cutOff.contains(this.from.name);
+		private boolean isReachable(Vm vm) {
+			return vm.isRunning() && !SimulatedVms.this.partitioned.contains(vm.name)
+					&& !SimulatedVms.this.partitioned.contains(this.from.name);
 		}
 
 	}
