--- a/server/src/main/java/org/fulmargap/peer/Dialer.java
+++ b/server/src/main/java/org/fulmargap/peer/Dialer.java
@@ -3,43 +3,43 @@
 import java.net.InetSocketAddress;
 
 /**
- * State of the connection attempts to one configured address. Used by the I/O thread
- * only.
+ * State of the connection attempts to one configured address, with exponential backoff.
+ * Used by the I/O thread only.
  */
 final class Dialer {
 
-	private static final long FIRST_DELAY_MS = 100;
+	private static final long INITIAL_BACKOFF_MS = 100;
 
-	// At most this long after a peer is back, a link to it is attempted.
-	private static final long LONGEST_DELAY_MS = 1_000;
+	// Bounds the time after which a peer that is reachable again is dialed.
+	private static final long MAX_BACKOFF_MS = 1_000;
 
-	// A link that the peer keeps is looked for this often; the check passes over all
-	// links.
-	private static final long CHECK_EVERY_MS = 200;
+	// How often an address is checked that is not dialed because its peer keeps a link to
+	// this VM. Each check scans all links.
+	private static final long POSTPONE_MS = 200;
 
 	private final InetSocketAddress address;
 
-	private final String text;
+	private final String addressText;
 
 	private PeerLink link;
 
 	private long nextAttemptMs;
 
-	private long delayMs = FIRST_DELAY_MS;
+	private long backoffMs = INITIAL_BACKOFF_MS;
 
 	private long failures;
 
 	Dialer(InetSocketAddress address) {
 		this.address = address;
-		this.text = PeerAddresses.format(address);
+		this.addressText = PeerAddresses.format(address);
 	}
 
 	InetSocketAddress address() {
 		return this.address;
 	}
 
-	String text() {
-		return this.text;
+	String addressText() {
+		return this.addressText;
 	}
 
 	PeerLink link() {
@@ -47,7 +47,7 @@
 	}
 
 	boolean isDue(long nowMs) {
-		boolean clockSetBack = this.nextAttemptMs - nowMs > LONGEST_DELAY_MS;
+		boolean clockSetBack = this.nextAttemptMs - nowMs > MAX_BACKOFF_MS;
 		return this.link == null && (nowMs >= this.nextAttemptMs || clockSetBack);
 	}
 
@@ -56,31 +56,31 @@
 	}
 
 	void postpone(long nowMs) {
-		this.nextAttemptMs = nowMs + CHECK_EVERY_MS;
+		this.nextAttemptMs = nowMs + POSTPONE_MS;
 	}
 
 	void established() {
-		this.delayMs = FIRST_DELAY_MS;
+		this.backoffMs = INITIAL_BACKOFF_MS;
 	}
 
 	/**
-	 * Schedules the next attempt after a connection or an attempt ended.
-	 * @param wasEstablished whether the link had been in use
-	 * @param nowMs the present time in milliseconds since the epoch
-	 * @return {@code true} if this is the first failure since the link was in use
+	 * Schedules the next attempt after a connection was closed or an attempt failed.
+	 * @param wasEstablished whether the handshake of the link had completed
+	 * @param nowMs the current time in milliseconds since the epoch
+	 * @return {@code true} if this is the first failure since a link was established
 	 */
 	boolean ended(boolean wasEstablished, long nowMs) {
-		boolean first = wasEstablished || this.delayMs == FIRST_DELAY_MS;
+		boolean first = wasEstablished || this.backoffMs == INITIAL_BACKOFF_MS;
 		this.link = null;
 		this.failures++;
-		this.nextAttemptMs = nowMs + this.delayMs;
-		this.delayMs = Math.min(LONGEST_DELAY_MS, this.delayMs * 2);
+		this.nextAttemptMs = nowMs + this.backoffMs;
+		this.backoffMs = Math.min(MAX_BACKOFF_MS, this.backoffMs * 2);
 		return first;
 	}
 
 	/**
-	 * Returns how often attempts and connections have ended.
-	 * @return a number that only rises
+	 * Returns the number of failed attempts and closed connections.
+	 * @return a number that never decreases
 	 */
 	long failures() {
 		return this.failures;
--- a/server/src/main/java/org/fulmargap/peer/FrameCodec.java
+++ b/server/src/main/java/org/fulmargap/peer/FrameCodec.java
@@ -17,8 +17,8 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Converts messages to frames and back: a 4-byte big-endian length, then a MessagePack
- * array of type and body.
+ * Encodes messages as frames and decodes them. A frame is a 4-byte big-endian length,
+ * followed by a MessagePack array of message type and body.
  */
 final class FrameCodec {
 
@@ -67,10 +67,10 @@
 	}
 
 	/**
-	 * Checks the length in a frame header before memory is reserved for the body.
-	 * @param length the length that the header states
+	 * Checks the length in a frame header before memory is allocated for the body.
+	 * @param length the length of the body in bytes
 	 * @return the length
-	 * @throws FrameException if no frame of this length is allowed
+	 * @throws FrameException if the length is zero or exceeds the limit
 	 */
 	int checkedLength(int length) throws FrameException {
 		if (length < 1 || length > this.maxFrameBytes) {
@@ -90,8 +90,8 @@
 			if (messageClass == null) {
 				throw new FrameException(PeerEventType.UNKNOWN_TYPE, "unknown message type");
 			}
-			// Read before the body is bound, because another version may have other
-			// fields.
+			// The version is read before the body is mapped to a class, because another
+			// version may have other fields.
 			int version = frame.get(1).path("protocol_version").asInt(-1);
 			if (messageClass == Hello.class && version != Hello.PROTOCOL_VERSION) {
 				throw new FrameException(PeerEventType.WRONG_VERSION, "protocol version " + version);
@@ -106,7 +106,8 @@
 		}
 	}
 
-	// The mapper's own check for trailing tokens fails at the end of a MessagePack input.
+	// FAIL_ON_TRAILING_TOKENS of the mapper cannot be used: it fails at the end of a
+	// MessagePack input.
 	private JsonNode readTree(byte[] body) throws IOException {
 		try (JsonParser parser = this.mapper.createParser(body)) {
 			JsonNode frame = this.mapper.readTree(parser);
--- a/server/src/main/java/org/fulmargap/peer/FrameException.java
+++ b/server/src/main/java/org/fulmargap/peer/FrameException.java
@@ -3,7 +3,8 @@
 import java.io.IOException;
 
 /**
- * Reports a frame that violates the protocol. The link that carried it is closed.
+ * Thrown for a frame that cannot be encoded, decoded or queued, or that violates the
+ * protocol.
  */
 class FrameException extends IOException {
 
--- a/server/src/main/java/org/fulmargap/peer/LinkTable.java
+++ b/server/src/main/java/org/fulmargap/peer/LinkTable.java
@@ -6,7 +6,8 @@
 import org.fulmargap.membership.Hello;
 
 /**
- * The open links and the addresses to dial. Used by the I/O thread only.
+ * Table of the open links and of the addresses to connect to. Used by the I/O thread
+ * only.
  */
 final class LinkTable {
 
@@ -31,15 +32,15 @@
 
 	/**
 	 * Returns the open links.
-	 * @return a copy, so that links may be closed while it is passed over
+	 * @return a copy, so that links may be closed while the list is iterated
 	 */
 	List<PeerLink> all() {
 		return List.copyOf(this.links);
 	}
 
 	/**
-	 * Returns the links whose peer has said hello.
-	 * @return a copy
+	 * Returns the links whose handshake has completed.
+	 * @return a copy of the list
 	 */
 	List<PeerLink> established() {
 		return this.links.stream().filter(PeerLink::isEstablished).toList();
@@ -63,11 +64,10 @@
 	}
 
 	// Of two VMs, the one with the lower name keeps the link that it dialed, and the
-	// other
-	// one needs none. This halves the heartbeats.
-	boolean isServedByPeer(Dialer dialer) {
+	// other VM does not dial. One link per pair halves the number of heartbeats.
+	boolean hasLinkFromPeer(Dialer dialer) {
 		return this.links.stream()
-			.anyMatch((link) -> isKeptByPeer(link) && dialer.text().equals(link.remote().peerAddress()));
+			.anyMatch((link) -> isKeptByPeer(link) && dialer.addressText().equals(link.remote().peerAddress()));
 	}
 
 	private boolean isKeptByPeer(PeerLink link) {
@@ -75,7 +75,7 @@
 	}
 
 	/**
-	 * Tells whether a dialed link is not needed because its peer keeps one as well.
+	 * Returns whether a dialed link is a duplicate of one that the peer dialed and keeps.
 	 * @param dialed the link
 	 * @return {@code true} if the link may be closed
 	 */
--- a/server/src/main/java/org/fulmargap/peer/OrderService.java
+++ b/server/src/main/java/org/fulmargap/peer/OrderService.java
@@ -17,16 +17,16 @@
 import org.fulmargap.membership.AdminOrders;
 
 /**
- * Applies, spreads and keeps administrative orders on one entry VM. Safe for use by
- * several threads.
+ * Applies administrative orders on one entry VM, pushes them to the members and ensures
+ * that they are appended to the log. Instances are thread safe.
  */
 public final class OrderService {
 
-	// An order that another VM issued is appended by this VM only if the issuer has not
-	// done so, for example because it died while the log was down.
-	private static final long FOREIGN_APPEND_AFTER_MS = 30_000;
+	// Delay after which this VM appends an order that another VM issued and that has not
+	// been read from the log, for example because the issuer died while the log was down.
+	private static final long OTHER_ISSUER_APPEND_AFTER_MS = 30_000;
 
-	private static final long REPEAT_APPEND_AFTER_MS = 5_000;
+	private static final long RETRY_APPEND_AFTER_MS = 5_000;
 
 	private final String self;
 
@@ -40,7 +40,7 @@
 
 	private final Consumer<AdminOrders> changeListener;
 
-	private final Map<Target, Unlogged> unlogged = new HashMap<>();
+	private final Map<Target, PendingAppend> pendingAppends = new HashMap<>();
 
 	private AdminOrders orders = AdminOrders.NONE;
 
@@ -49,10 +49,11 @@
 	 * @param self the name of this entry VM
 	 * @param issuer the incarnation of this entry VM
 	 * @param members returns the names of all members
-	 * @param push hands an order to members
-	 * @param appender appends an order to the log without waiting; it is called again
-	 * until the order was read from the log
-	 * @param changeListener is told the orders in force after each change, in order
+	 * @param push sends an order to members
+	 * @param appender appends an order to the log without blocking; called repeatedly
+	 * until the order has been read from the log
+	 * @param changeListener receives the orders in force after each change, in sequence;
+	 * called while the lock of this service is held
 	 */
 	public OrderService(String self, String issuer, Supplier<Collection<String>> members, OrderPush push,
 			Consumer<AdminOrder> appender, Consumer<AdminOrders> changeListener) {
@@ -65,11 +66,12 @@
 	}
 
 	/**
-	 * Applies an order of an operator at once and spreads it.
-	 * @param target what the order is about
+	 * Applies an order of an operator on this entry VM, appends it to the log and pushes
+	 * it to all other members.
+	 * @param target the target of the order
 	 * @param state the state to set
 	 * @param waitMs the longest wait for confirmations in milliseconds
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return a future with the confirmations, never completed exceptionally
 	 */
 	public CompletableFuture<OrderResult> issue(Target target, State state, long waitMs, long nowMs) {
@@ -79,21 +81,21 @@
 			apply(List.of(order), nowMs);
 		}
 		this.appender.accept(order);
-		Set<String> asked = new TreeSet<>(this.members.get());
-		asked.remove(this.self);
-		return this.push.push(order, asked, waitMs).thenApply((confirmed) -> {
+		Set<String> recipients = new TreeSet<>(this.members.get());
+		recipients.remove(this.self);
+		return this.push.push(order, recipients, waitMs).thenApply((confirmed) -> {
 			Set<String> confirmedVms = new TreeSet<>(confirmed);
 			confirmedVms.add(this.self);
-			Set<String> missing = new TreeSet<>(asked);
+			Set<String> missing = new TreeSet<>(recipients);
 			missing.removeAll(confirmedVms);
 			return new OrderResult(order, confirmedVms, missing);
 		});
 	}
 
 	/**
-	 * Merges orders of a peer.
+	 * Merges orders received from a peer.
 	 * @param received the orders
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return the orders in force after the merge
 	 */
 	public synchronized AdminOrders merge(Collection<AdminOrder> received, long nowMs) {
@@ -104,15 +106,15 @@
 	/**
 	 * Merges orders that were read from the log.
 	 * @param logged orders of records and snapshots
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return the orders in force after the merge
 	 */
 	public synchronized AdminOrders mergeFromLog(Collection<AdminOrder> logged, long nowMs) {
 		apply(logged, nowMs);
 		for (AdminOrder order : logged) {
-			Unlogged waiting = this.unlogged.get(order.target());
-			if (waiting != null && !waiting.order().supersedes(order)) {
-				this.unlogged.remove(order.target());
+			PendingAppend pending = this.pendingAppends.get(order.target());
+			if (pending != null && !pending.order().supersedes(order)) {
+				this.pendingAppends.remove(order.target());
 			}
 		}
 		return this.orders;
@@ -127,20 +129,20 @@
 	}
 
 	/**
-	 * Hands orders to the appender again that have not been read from the log for a
-	 * while. Called every second or so.
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * Appends the orders again that have not been read from the log within the retry
+	 * time. Called periodically.
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
-	public void repeatAppends(long nowMs) {
+	public void retryAppends(long nowMs) {
 		List<AdminOrder> due;
 		synchronized (this) {
-			due = this.unlogged.values()
+			due = this.pendingAppends.values()
 				.stream()
-				.filter((waiting) -> nowMs >= waiting.appendAtMs())
-				.map(Unlogged::order)
+				.filter((pending) -> nowMs >= pending.appendAtMs())
+				.map(PendingAppend::order)
 				.toList();
-			due.forEach(
-					(order) -> this.unlogged.put(order.target(), new Unlogged(order, nowMs + REPEAT_APPEND_AFTER_MS)));
+			due.forEach((order) -> this.pendingAppends.put(order.target(),
+					new PendingAppend(order, nowMs + RETRY_APPEND_AFTER_MS)));
 		}
 		due.forEach(this.appender);
 	}
@@ -150,9 +152,9 @@
 		if (merged != this.orders) {
 			for (AdminOrder order : merged.list()) {
 				if (!this.orders.covers(order)) {
-					long delayMs = order.issuer().equals(this.issuer) ? REPEAT_APPEND_AFTER_MS
-							: FOREIGN_APPEND_AFTER_MS;
-					this.unlogged.put(order.target(), new Unlogged(order, nowMs + delayMs));
+					long delayMs = order.issuer().equals(this.issuer) ? RETRY_APPEND_AFTER_MS
+							: OTHER_ISSUER_APPEND_AFTER_MS;
+					this.pendingAppends.put(order.target(), new PendingAppend(order, nowMs + delayMs));
 				}
 			}
 			this.orders = merged;
@@ -161,7 +163,7 @@
 	}
 
 	/**
-	 * Hands an order to members.
+	 * Sends an order to members.
 	 */
 	@FunctionalInterface
 	public interface OrderPush {
@@ -182,8 +184,8 @@
 	 * Confirmations of an order.
 	 *
 	 * @param order the order
-	 * @param confirmed the members that hold the order, this entry VM included
-	 * @param notConfirmed the members that did not answer in time
+	 * @param confirmed the members that hold the order, including this entry VM
+	 * @param notConfirmed the members that did not confirm the order in time
 	 */
 	public record OrderResult(AdminOrder order, Set<String> confirmed, Set<String> notConfirmed) {
 
@@ -196,7 +198,7 @@
 		}
 
 		/**
-		 * Tells whether all members hold the order.
+		 * Returns whether all members hold the order.
 		 * @return {@code true} if no confirmation is missing
 		 */
 		public boolean isInForce() {
@@ -205,7 +207,7 @@
 
 	}
 
-	private record Unlogged(AdminOrder order, long appendAtMs) {
+	private record PendingAppend(AdminOrder order, long appendAtMs) {
 	}
 
 }
--- a/server/src/main/java/org/fulmargap/peer/PeerAddresses.java
+++ b/server/src/main/java/org/fulmargap/peer/PeerAddresses.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 
 /**
- * Text form of addresses.
+ * Formats addresses as {@code IP:port}.
  */
 final class PeerAddresses {
 
--- a/server/src/main/java/org/fulmargap/peer/PeerDispatcher.java
+++ b/server/src/main/java/org/fulmargap/peer/PeerDispatcher.java
@@ -22,8 +22,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Handles the messages of all links. Work for the services runs on two handler threads,
- * so that a slow service does not delay heartbeats.
+ * Handles the messages of all links on the I/O thread. Calls of the {@link PeerHandler}
+ * that answer queries or merge state run on two handler threads, so that a slow service
+ * does not delay heartbeats.
  */
 final class PeerDispatcher implements PeerLoop.Listener, AutoCloseable {
 
@@ -31,13 +32,13 @@
 
 	private static final int HANDLER_THREADS = 2;
 
-	// About 100 KB of a heartbeat.
+	// Orders per heartbeat; they take about 100 KB of the frame.
 	private static final int MAX_ORDERS = 1_000;
 
-	private static final int MAX_WAITING_TASKS = 1_024;
+	private static final int MAX_QUEUED_TASKS = 1_024;
 
-	// Bounds the wait that a peer can ask for; requests have deadlines of seconds.
-	private static final long LONGEST_WAIT_MS = 60_000;
+	// Upper bound of the wait that a peer requests; requests have deadlines of seconds.
+	private static final long MAX_WAIT_MS = 60_000;
 
 	private final PeerSettings settings;
 
@@ -53,7 +54,7 @@
 
 	private final PendingQueries queries;
 
-	private final RecentCrashReports strikes;
+	private final RecentCrashReports crashReports;
 
 	private final Set<String> connected;
 
@@ -63,10 +64,10 @@
 
 	private long nextHeartbeatMs;
 
-	private int nextOrder;
+	private int nextOrderIndex;
 
 	PeerDispatcher(PeerSettings settings, MembershipView membership, PeerHandler handler, PeerEvents events,
-			LongSupplier clock, FrameCodec codec, PendingQueries queries, RecentCrashReports strikes,
+			LongSupplier clock, FrameCodec codec, PendingQueries queries, RecentCrashReports crashReports,
 			Set<String> connected) {
 		this.settings = settings;
 		this.membership = membership;
@@ -75,11 +76,11 @@
 		this.clock = clock;
 		this.codec = codec;
 		this.queries = queries;
-		this.strikes = strikes;
+		this.crashReports = crashReports;
 		this.connected = connected;
 		AtomicInteger number = new AtomicInteger();
 		this.handlers = new ThreadPoolExecutor(HANDLER_THREADS, HANDLER_THREADS, 0, TimeUnit.SECONDS,
-				new ArrayBlockingQueue<>(MAX_WAITING_TASKS), (task) -> {
+				new ArrayBlockingQueue<>(MAX_QUEUED_TASKS), (task) -> {
 					Thread thread = new Thread(task, "peer-handler-" + number.incrementAndGet());
 					thread.setDaemon(true);
 					return thread;
@@ -91,24 +92,24 @@
 	}
 
 	@Override
-	public void message(PeerLink link, PeerMessage message) throws FrameException {
+	public void messageReceived(PeerLink link, PeerMessage message) throws FrameException {
 		if (message instanceof Hello hello) {
-			hello(link, hello);
+			receiveHello(link, hello);
 		}
 		else if (link.remote() == null) {
-			throw new FrameException(PeerEventType.UNEXPECTED_MESSAGE, "first message is not hello");
+			throw new FrameException(PeerEventType.UNEXPECTED_MESSAGE, "first message is not a hello");
 		}
 		else if (message instanceof Heartbeat heartbeat) {
-			heartbeat(link, heartbeat);
+			receiveHeartbeat(link, heartbeat);
 		}
 		else if (message instanceof PeerMessage.Reply reply) {
 			if (reply instanceof PeerMessage.KeyReply keyReply) {
-				checkState(keyReply);
+				checkKeyState(keyReply);
 			}
-			this.queries.reply(link, reply);
+			this.queries.receiveReply(link, reply);
 		}
 		else if (message instanceof PeerMessage.Query query) {
-			run(link, () -> answer(link, query));
+			runOnHandlerThread(link, () -> answerQuery(link, query));
 		}
 	}
 
@@ -116,22 +117,22 @@
 	public void linkClosed(PeerLink link) {
 		this.queries.linkClosed(link);
 		updateConnected();
-		sendWaiting(this.clock.getAsLong());
+		sendPending(this.clock.getAsLong());
 	}
 
 	@Override
 	public void tick(long nowMs) {
-		// The second condition holds after the clock was set back.
-		if (nowMs >= this.nextHeartbeatMs || this.nextHeartbeatMs - nowMs > this.settings.heartbeatEveryMs()) {
+		// The second condition is true after the clock was set back.
+		if (nowMs >= this.nextHeartbeatMs || this.nextHeartbeatMs - nowMs > this.settings.heartbeatIntervalMs()) {
 			sendHeartbeats(nowMs);
 		}
-		sendWaiting(nowMs);
+		sendPending(nowMs);
 	}
 
 	@Override
 	public void stopped() {
 		this.connected.clear();
-		this.queries.endAll();
+		this.queries.completeAll();
 	}
 
 	@Override
@@ -139,29 +140,29 @@
 		this.handlers.shutdownNow();
 	}
 
-	void sendWaiting(long nowMs) {
+	void sendPending(long nowMs) {
 		if (!this.queries.isEmpty()) {
-			this.queries.sendWaiting(this.loop.links().established(), this.loop::send, nowMs);
+			this.queries.sendPending(this.loop.links().established(), this.loop::send, nowMs);
 		}
 	}
 
-	void spreadStrikes(Map<String, List<String>> fingerprints) {
+	void broadcastCrashReports(Map<String, List<String>> fingerprints) {
 		long nowMs = this.clock.getAsLong();
-		this.strikes.add(fingerprints, nowMs);
+		this.crashReports.add(fingerprints, nowMs);
 		PeerHandler.LocalStatus status = this.handler.status();
 		for (PeerLink link : this.loop.links().established()) {
-			this.loop.send(link, heartbeat(status, fingerprints, List.of(), List.of()));
+			this.loop.send(link, createHeartbeat(status, fingerprints, List.of(), List.of()));
 		}
 	}
 
 	void sendHeartbeats(long nowMs) {
-		this.nextHeartbeatMs = nowMs + this.settings.heartbeatEveryMs();
+		this.nextHeartbeatMs = nowMs + this.settings.heartbeatIntervalMs();
 		PeerHandler.LocalStatus status = this.handler.status();
 		this.membership.updateSelfStatus(status.leaving(), status.configVersion(), status.inFlight());
-		List<String> silent = this.membership.unresponsiveMembers(nowMs);
+		List<String> unresponsive = this.membership.unresponsiveMembers(nowMs);
 		long checksum = status.orders().checksum();
-		// Encoded once, because all links carry the same bytes.
-		Optional<ByteBuffer> plain = encode(heartbeat(status, Map.of(), List.of(), silent));
+		// Encoded once, because the same bytes are sent on all links.
+		Optional<ByteBuffer> withoutOrders = encode(createHeartbeat(status, Map.of(), List.of(), unresponsive));
 		Optional<ByteBuffer> withOrders = Optional.empty();
 		for (PeerLink link : this.loop.links().established()) {
 			if (this.loop.links().isDuplicate(link) && link.isIdle() && !this.queries.isUsed(link)) {
@@ -169,26 +170,28 @@
 			}
 			else {
 				if (link.lacksOrders(checksum) && withOrders.isEmpty()) {
-					withOrders = encode(heartbeat(status, Map.of(), nextOrders(status), silent));
+					withOrders = encode(createHeartbeat(status, Map.of(), nextOrders(status), unresponsive));
 				}
-				(link.lacksOrders(checksum) ? withOrders : plain).ifPresent((frame) -> this.loop.send(link, frame));
+				(link.lacksOrders(checksum) ? withOrders : withoutOrders)
+					.ifPresent((frame) -> this.loop.send(link, frame));
 			}
 		}
 	}
 
-	private Heartbeat heartbeat(PeerHandler.LocalStatus status, Map<String, List<String>> newStrikes,
-			List<AdminOrder> orders, List<String> silent) {
+	private Heartbeat createHeartbeat(PeerHandler.LocalStatus status, Map<String, List<String>> newCrashReports,
+			List<AdminOrder> orders, List<String> unresponsive) {
 		return new Heartbeat(this.membership.self().incarnation(), status.leaving(), status.configVersion(),
-				status.inFlight(), status.warmUpStarts(), newStrikes, status.orders().checksum(), orders, silent);
+				status.inFlight(), status.warmUpStarts(), newCrashReports, status.orders().checksum(), orders,
+				unresponsive);
 	}
 
-	// Successive heartbeats carry successive parts of a long list, so that any number of
-	// orders fits the frame bound.
+	// Successive heartbeats carry successive parts of a long list, so that the number of
+	// orders is not limited by the frame size.
 	private List<AdminOrder> nextOrders(PeerHandler.LocalStatus status) {
 		List<AdminOrder> orders = status.orders().list();
-		int from = (this.nextOrder < orders.size()) ? this.nextOrder : 0;
+		int from = (this.nextOrderIndex < orders.size()) ? this.nextOrderIndex : 0;
 		int to = Math.min(orders.size(), from + MAX_ORDERS);
-		this.nextOrder = to;
+		this.nextOrderIndex = to;
 		return orders.subList(from, to);
 	}
 
@@ -202,7 +205,7 @@
 		}
 	}
 
-	private void hello(PeerLink link, Hello hello) throws FrameException {
+	private void receiveHello(PeerLink link, Hello hello) throws FrameException {
 		if (link.remote() != null) {
 			throw new FrameException(PeerEventType.UNEXPECTED_MESSAGE, "second hello");
 		}
@@ -225,24 +228,24 @@
 				"incarnation " + hello.incarnation() + (link.isDialed() ? ", dialed" : ", accepted"));
 		updateConnected();
 		PeerHandler.LocalStatus status = this.handler.status();
-		this.loop.send(link, heartbeat(status, this.strikes.current(nowMs), nextOrders(status), List.of()));
-		sendWaiting(nowMs);
+		this.loop.send(link, createHeartbeat(status, this.crashReports.current(nowMs), nextOrders(status), List.of()));
+		sendPending(nowMs);
 	}
 
-	private void heartbeat(PeerLink link, Heartbeat heartbeat) throws FrameException {
+	private void receiveHeartbeat(PeerLink link, Heartbeat heartbeat) throws FrameException {
 		Incarnation sender = link.remote().incarnation();
 		if (!heartbeat.incarnation().equals(sender)
 				|| !this.membership.receiveHeartbeat(heartbeat, this.clock.getAsLong())) {
 			throw new FrameException(PeerEventType.STALE_INCARNATION, "heartbeat of " + heartbeat.incarnation());
 		}
-		link.peerOrders(heartbeat.ordersChecksum());
+		link.setPeerOrdersChecksum(heartbeat.ordersChecksum());
 		if (!heartbeat.orders().isEmpty() || !heartbeat.strikes().isEmpty() || !heartbeat.warmUpStarts().isEmpty()) {
-			run(link, () -> {
+			runOnHandlerThread(link, () -> {
 				if (!heartbeat.orders().isEmpty()) {
 					this.handler.mergeOrders(heartbeat.orders());
 				}
 				if (!heartbeat.strikes().isEmpty()) {
-					this.handler.mergeStrikes(heartbeat.strikes());
+					this.handler.mergeCrashReports(heartbeat.strikes());
 				}
 				if (!heartbeat.warmUpStarts().isEmpty()) {
 					this.handler.mergeWarmUpStarts(heartbeat.warmUpStarts());
@@ -251,32 +254,32 @@
 		}
 	}
 
-	private void answer(PeerLink link, PeerMessage.Query query) {
+	private void answerQuery(PeerLink link, PeerMessage.Query query) {
 		long queryId = query.queryId();
 		if (query instanceof PeerMessage.OutcomeQuery outcome) {
-			long waitMs = Math.max(0, Math.min(outcome.waitMs(), LONGEST_WAIT_MS));
+			long waitMs = Math.max(0, Math.min(outcome.waitMs(), MAX_WAIT_MS));
 			this.handler.outcome(outcome.claimKey(), waitMs)
-				.thenAccept((result) -> reply(link, new PeerMessage.OutcomeReply(queryId, result.orElse(null))));
+				.thenAccept((result) -> sendReply(link, new PeerMessage.OutcomeReply(queryId, result.orElse(null))));
 		}
 		else if (query instanceof PeerMessage.KeyQuery key) {
-			reply(link, new PeerMessage.KeyReply(queryId, this.handler.abandonUndispatched(key.claimKey()).name()));
+			sendReply(link, new PeerMessage.KeyReply(queryId, this.handler.abandonUndispatched(key.claimKey()).name()));
 		}
 		else if (query instanceof PeerMessage.OrderPush push) {
 			boolean applied = this.handler.mergeOrders(List.of(push.order())).covers(push.order());
-			reply(link, new PeerMessage.OrderAck(queryId, applied));
+			sendReply(link, new PeerMessage.OrderAck(queryId, applied));
 		}
 		else {
 			Optional<PeerHandler.ConfigCopy> config = this.handler.config();
-			reply(link, new PeerMessage.ConfigReply(queryId, config.map(PeerHandler.ConfigCopy::version).orElse(0L),
+			sendReply(link, new PeerMessage.ConfigReply(queryId, config.map(PeerHandler.ConfigCopy::version).orElse(0L),
 					config.map(PeerHandler.ConfigCopy::state).orElse(null)));
 		}
 	}
 
-	private void reply(PeerLink link, PeerMessage.Reply reply) {
+	private void sendReply(PeerLink link, PeerMessage.Reply reply) {
 		this.loop.execute(() -> this.loop.send(link, reply));
 	}
 
-	private void run(PeerLink link, Runnable task) {
+	private void runOnHandlerThread(PeerLink link, Runnable task) {
 		try {
 			this.handlers.execute(() -> {
 				try {
@@ -288,8 +291,9 @@
 			});
 		}
 		catch (RejectedExecutionException ex) {
-			// The asker sees no answer in time; orders and warm-up starts are repeated.
-			this.events.record(PeerEventType.HANDLER_OVERLOADED, link.name(), MAX_WAITING_TASKS + " tasks wait");
+			// A query then times out at the peer. Heartbeats repeat orders and warm-up
+			// starts, but not crash reports.
+			this.events.record(PeerEventType.HANDLER_OVERLOADED, link.name(), MAX_QUEUED_TASKS + " tasks are queued");
 		}
 	}
 
@@ -303,7 +307,7 @@
 		this.connected.addAll(names);
 	}
 
-	private static void checkState(PeerMessage.KeyReply reply) throws FrameException {
+	private static void checkKeyState(PeerMessage.KeyReply reply) throws FrameException {
 		try {
 			PeerNetwork.KeyState.valueOf(reply.state());
 		}
--- a/server/src/main/java/org/fulmargap/peer/PeerHandler.java
+++ b/server/src/main/java/org/fulmargap/peer/PeerHandler.java
@@ -13,38 +13,39 @@
 import org.fulmargap.membership.AdminOrders;
 
 /**
- * Answers peers from the services of this entry VM. All methods must return without
- * waiting; {@link #status} is called on the I/O thread, the others on handler threads.
+ * Handles queries and state updates of peers with the services of this entry VM. All
+ * methods must return without blocking: {@link #status} is called on the I/O thread, the
+ * others on handler threads or, for queries of this entry VM about itself, on any thread.
  */
 public interface PeerHandler {
 
 	/**
-	 * Returns the state that the next heartbeats carry.
+	 * Returns the state to send in the next heartbeats.
 	 * @return the state
 	 */
 	LocalStatus status();
 
 	/**
-	 * Merges orders that a peer holds.
+	 * Merges orders received from a peer.
 	 * @param orders the orders
 	 * @return all orders in force after the merge
 	 */
 	AdminOrders mergeOrders(Collection<AdminOrder> orders);
 
 	/**
-	 * Merges crash strikes that a peer observed.
-	 * @param strikes the endpoints that each fingerprint crashed
+	 * Merges crash reports of a peer.
+	 * @param crashReports the endpoints that crashed, by request fingerprint
 	 */
-	void mergeStrikes(Map<String, List<String>> strikes);
+	void mergeCrashReports(Map<String, List<String>> crashReports);
 
 	/**
 	 * Merges warm-up starts that a peer observed.
-	 * @param starts milliseconds since the epoch by endpoint
+	 * @param starts the start times in milliseconds since the epoch, by endpoint
 	 */
 	void mergeWarmUpStarts(Map<String, Long> starts);
 
 	/**
-	 * Abandons an undispatched attempt for a key and tells what is known about the key.
+	 * Abandons an undispatched attempt for a key and returns the state of the key.
 	 * @param key the key
 	 * @return the state after the call
 	 */
@@ -59,13 +60,13 @@
 	CompletableFuture<Optional<RecordedOutcome>> outcome(ClaimKey key, long waitMs);
 
 	/**
-	 * Returns the configuration for a peer that starts without the log.
+	 * Returns the configuration for a peer that cannot read the log.
 	 * @return the configuration, or empty if this entry VM knows none
 	 */
 	Optional<ConfigCopy> config();
 
 	/**
-	 * Configuration of one entry VM in the form that another one can take over.
+	 * Configuration of one entry VM in the form that another one can install.
 	 *
 	 * @param version the version in force
 	 * @param state the document with its pending proposal; the configuration service
@@ -75,12 +76,13 @@
 	}
 
 	/**
-	 * State of this entry VM for heartbeats.
+	 * State of this entry VM that heartbeats carry.
 	 *
 	 * @param leaving whether this entry VM is shutting down
 	 * @param configVersion the configuration version in force
 	 * @param inFlight the number of running requests
-	 * @param warmUpStarts the latest warm-up starts by endpoint
+	 * @param warmUpStarts the latest start of a warm-up by endpoint, milliseconds since
+	 * the epoch
 	 * @param orders the orders in force
 	 */
 	record LocalStatus(boolean leaving, long configVersion, int inFlight, Map<String, Long> warmUpStarts,
--- a/server/src/main/java/org/fulmargap/peer/PeerLink.java
+++ b/server/src/main/java/org/fulmargap/peer/PeerLink.java
@@ -41,19 +41,19 @@
 
 	private long peerOrdersChecksum;
 
-	private boolean ordersKnown;
+	private boolean peerOrdersKnown;
 
 	private boolean open = true;
 
 	/**
 	 * Creates a link for a registered channel.
 	 * @param channel the channel, connected or connecting
-	 * @param key the registration
+	 * @param key the registration of the channel
 	 * @param dialedAddress the address that was dialed, or {@code null} for accepted
 	 * links
-	 * @param codec the frame format
-	 * @param maxQueuedBytes the most bytes that may wait
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param codec checks the length of received frames
+	 * @param maxQueuedBytes the largest number of bytes queued for sending
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
 	PeerLink(SocketChannel channel, SelectionKey key, InetSocketAddress dialedAddress, FrameCodec codec,
 			int maxQueuedBytes, long nowMs) {
@@ -97,7 +97,7 @@
 		return this.lastReceivedMs;
 	}
 
-	void restartSilence(long nowMs) {
+	void resetReceiveTimeout(long nowMs) {
 		this.lastReceivedMs = nowMs;
 	}
 
@@ -105,13 +105,13 @@
 		return this.queue.isEmpty();
 	}
 
-	void peerOrders(long checksum) {
+	void setPeerOrdersChecksum(long checksum) {
 		this.peerOrdersChecksum = checksum;
-		this.ordersKnown = true;
+		this.peerOrdersKnown = true;
 	}
 
 	boolean lacksOrders(long checksum) {
-		return !this.ordersKnown || this.peerOrdersChecksum != checksum;
+		return !this.peerOrdersKnown || this.peerOrdersChecksum != checksum;
 	}
 
 	String name() {
@@ -131,21 +131,21 @@
 
 	/**
 	 * Completes a connection attempt.
-	 * @throws IOException if the connection was refused
+	 * @throws IOException if the connection could not be established
 	 */
 	void finishConnect() throws IOException {
 		this.channel.finishConnect();
-		updateInterest();
+		updateInterestOps();
 	}
 
 	/**
-	 * Queues a frame and writes as much as the socket takes.
-	 * @param frame the frame, whose content is shared and not changed
-	 * @throws IOException if the connection broke or too many bytes wait
+	 * Queues a frame and writes as much of the queue as the socket accepts.
+	 * @param frame the frame; neither its content nor its position is changed
+	 * @throws IOException if the connection failed or too many bytes are queued
 	 */
 	void send(ByteBuffer frame) throws IOException {
 		if (this.queuedBytes + frame.remaining() > this.maxQueuedBytes) {
-			throw new FrameException(PeerEventType.QUEUE_FULL, this.queuedBytes + " bytes wait");
+			throw new FrameException(PeerEventType.QUEUE_FULL, this.queuedBytes + " bytes are queued");
 		}
 		this.queue.add(frame.duplicate());
 		this.queuedBytes += frame.remaining();
@@ -161,15 +161,16 @@
 			}
 			this.queue.remove();
 		}
-		updateInterest();
+		updateInterestOps();
 	}
 
 	/**
-	 * Reads what has arrived and hands over complete frames.
-	 * @param buffer scratch space
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * Reads available bytes and passes on complete frames.
+	 * @param buffer the buffer to read into; its content is overwritten
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @param frames receives the body of each frame
-	 * @throws IOException if the connection ended or a frame is too long
+	 * @throws IOException if the connection was closed or failed, or if the length of a
+	 * frame is not allowed
 	 */
 	void read(ByteBuffer buffer, long nowMs, Consumer<byte[]> frames) throws IOException {
 		buffer.clear();
@@ -191,9 +192,8 @@
 				if (!this.body.hasRemaining()) {
 					byte[] frame = this.body.array();
 					this.body = null;
-					// Only complete frames count as a sign of life, so that a peer that
-					// stops
-					// in the middle of a frame is noticed.
+					// Only complete frames reset the receive timeout, so that a peer that
+					// stops in the middle of a frame is detected.
 					this.lastReceivedMs = nowMs;
 					frames.accept(frame);
 				}
@@ -209,11 +209,11 @@
 			this.channel.close();
 		}
 		catch (IOException ex) {
-			// The descriptor is released in any case.
+			// The file descriptor is released even if close fails.
 		}
 	}
 
-	private void updateInterest() {
+	private void updateInterestOps() {
 		if (this.key.isValid() && this.channel.isConnected()) {
 			this.key.interestOps(SelectionKey.OP_READ | (this.queue.isEmpty() ? 0 : SelectionKey.OP_WRITE));
 		}
--- a/server/src/main/java/org/fulmargap/peer/PeerLoop.java
+++ b/server/src/main/java/org/fulmargap/peer/PeerLoop.java
@@ -18,21 +18,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The I/O thread: it accepts and dials connections, moves bytes, and closes links that
- * fail. A fault on one link never touches another one.
+ * Event loop of the I/O thread: accepts and opens connections, reads and writes frames,
+ * and closes links that fail. A failure of one link does not affect the others.
  */
 final class PeerLoop implements AutoCloseable {
 
 	private static final Logger logger = LoggerFactory.getLogger(PeerLoop.class);
 
-	// Bounds the time by which deadlines and heartbeats can be late.
+	// Upper bound of the delay of deadlines and heartbeats.
 	private static final long TICK_MS = 20;
 
 	private static final int READ_BUFFER_BYTES = 64 << 10;
 
-	// Connections beyond twice the peers that await their hello, for example while all
-	// peers reconnect at once or a peer that is not configured here joins.
-	private static final int SPARE_LINKS = 64;
+	// Connections allowed beyond two per configured peer: for connections that have not
+	// received a hello yet, for example while all peers reconnect at once, and for peers
+	// that are not configured on this VM.
+	private static final int EXTRA_LINKS = 64;
 
 	private final PeerSettings settings;
 
@@ -99,13 +100,14 @@
 	}
 
 	/**
-	 * Runs a task on the I/O thread.
+	 * Runs a task on the I/O thread, or on the calling thread if the I/O thread has
+	 * stopped.
 	 * @param task the task
 	 */
 	void execute(Runnable task) {
 		this.tasks.add(task);
 		if (this.stopped) {
-			endTasks();
+			runRemainingTasks();
 		}
 		else {
 			this.selector.wakeup();
@@ -172,11 +174,11 @@
 	private void run() {
 		try {
 			while (!this.closed) {
-				this.selector.select(this::ready, TICK_MS);
+				this.selector.select(this::handleReady, TICK_MS);
 				for (Runnable task = this.tasks.poll(); task != null; task = this.tasks.poll()) {
-					guarded(task);
+					runSafely(task);
 				}
-				guarded(this::tick);
+				runSafely(this::tick);
 			}
 		}
 		catch (IOException ex) {
@@ -187,8 +189,8 @@
 		}
 	}
 
-	// An unexpected exception must not end the thread that serves all links.
-	private void guarded(Runnable task) {
+	// Logs an unexpected exception, which must not end the thread of all links.
+	private void runSafely(Runnable task) {
 		try {
 			task.run();
 		}
@@ -197,7 +199,7 @@
 		}
 	}
 
-	private void ready(SelectionKey key) {
+	private void handleReady(SelectionKey key) {
 		if (key.attachment() instanceof PeerLink link) {
 			try {
 				if (key.isConnectable()) {
@@ -208,7 +210,7 @@
 					link.flush();
 				}
 				if (key.isValid() && key.isReadable()) {
-					link.read(this.readBuffer, this.clock.getAsLong(), (frame) -> frame(link, frame));
+					link.read(this.readBuffer, this.clock.getAsLong(), (frame) -> receiveFrame(link, frame));
 				}
 			}
 			catch (IOException ex) {
@@ -220,14 +222,14 @@
 			}
 		}
 		else if (key.isValid() && key.isAcceptable()) {
-			guarded(this::accept);
+			runSafely(this::accept);
 		}
 	}
 
-	private void frame(PeerLink link, byte[] body) {
+	private void receiveFrame(PeerLink link, byte[] body) {
 		if (link.isOpen()) {
 			try {
-				this.listener.message(link, this.codec.decode(body));
+				this.listener.messageReceived(link, this.codec.decode(body));
 			}
 			catch (FrameException ex) {
 				close(link, ex);
@@ -252,7 +254,7 @@
 			if (channel == null) {
 				return;
 			}
-			if (this.links.size() >= 2 * this.settings.peers().size() + SPARE_LINKS) {
+			if (this.links.size() >= 2 * this.settings.peers().size() + EXTRA_LINKS) {
 				this.events.record(PeerEventType.TOO_MANY_LINKS, String.valueOf(channel.getRemoteAddress()),
 						this.links.size() + " connections are open");
 				channel.close();
@@ -305,14 +307,15 @@
 
 	private void tick() {
 		long nowMs = this.clock.getAsLong();
-		// After a pause of this process or a step of its clock, the silence of all peers
-		// is unknown, not long: closing all links at once would end their open queries.
-		if (nowMs < this.lastTickMs || nowMs - this.lastTickMs >= this.settings.silenceLimitMs() / 2) {
-			this.links.all().forEach((link) -> link.restartSilence(nowMs));
+		// After a pause of this process or a step of its clock, the time since the last
+		// frame of each peer is unknown. Closing all links at once would interrupt the
+		// queries pending on them.
+		if (nowMs < this.lastTickMs || nowMs - this.lastTickMs >= this.settings.receiveTimeoutMs() / 2) {
+			this.links.all().forEach((link) -> link.resetReceiveTimeout(nowMs));
 		}
 		this.lastTickMs = nowMs;
 		for (PeerLink link : this.links.all()) {
-			if (nowMs - link.lastReceivedMs() >= this.settings.silenceLimitMs()) {
+			if (nowMs - link.lastReceivedMs() >= this.settings.receiveTimeoutMs()) {
 				boolean connecting = !link.channel().isConnected();
 				close(link, connecting ? PeerEventType.CONNECT_FAILED : PeerEventType.LINK_SILENT,
 						"nothing received for " + (nowMs - link.lastReceivedMs()) + " ms");
@@ -320,7 +323,7 @@
 		}
 		for (Dialer dialer : this.links.dialers()) {
 			if (dialer.isDue(nowMs)) {
-				if (this.links.isServedByPeer(dialer)) {
+				if (this.links.hasLinkFromPeer(dialer)) {
 					dialer.postpone(nowMs);
 				}
 				else {
@@ -345,45 +348,45 @@
 			logger.warn("event=PEER_CLOSE_FAILED message=\"{}\"", ex.getMessage());
 		}
 		this.stopped = true;
-		endTasks();
+		runRemainingTasks();
 	}
 
-	// A task that came too late still runs, and its query ends at once: otherwise its
-	// future would never complete.
-	private synchronized void endTasks() {
+	// Tasks submitted during the shutdown still run, and the queries that they add are
+	// completed without a reply. Otherwise their futures would never complete.
+	private synchronized void runRemainingTasks() {
 		for (Runnable task = this.tasks.poll(); task != null; task = this.tasks.poll()) {
-			guarded(task);
+			runSafely(task);
 		}
 		this.listener.stopped();
 	}
 
 	/**
-	 * Receives messages and changes of the links on the I/O thread.
+	 * Receives messages and events of the links on the I/O thread.
 	 */
 	interface Listener {
 
 		/**
 		 * Handles a message.
-		 * @param link the link that carried it
+		 * @param link the link that received it
 		 * @param message the message
-		 * @throws FrameException if the message is not allowed; the link is closed
+		 * @throws FrameException if the message is not allowed; the link is then closed
 		 */
-		void message(PeerLink link, PeerMessage message) throws FrameException;
+		void messageReceived(PeerLink link, PeerMessage message) throws FrameException;
 
 		/**
-		 * Handles the end of a link.
+		 * Handles the closing of a link.
 		 * @param link the closed link
 		 */
 		void linkClosed(PeerLink link);
 
 		/**
-		 * Does what is due.
-		 * @param nowMs the present time in milliseconds since the epoch
+		 * Sends due heartbeats and pending queries. Called in each iteration of the loop.
+		 * @param nowMs the current time in milliseconds since the epoch
 		 */
 		void tick(long nowMs);
 
 		/**
-		 * Handles the end of the I/O thread.
+		 * Handles the shutdown of the loop. May be called several times.
 		 */
 		void stopped();
 
--- a/server/src/main/java/org/fulmargap/peer/PeerNetwork.java
+++ b/server/src/main/java/org/fulmargap/peer/PeerNetwork.java
@@ -10,57 +10,58 @@
 import org.fulmargap.claim.RecordedOutcome;
 
 /**
- * Messages between entry VMs.
+ * Queries and broadcasts to other entry VMs.
  */
 public interface PeerNetwork extends AutoCloseable {
 
 	/**
-	 * Asks the entry VM that owns a claim for its outcome. The answer comes when the
-	 * request has ended or the wait is over.
+	 * Queries the outcome of a claim from the entry VM that owns it. The owner replies
+	 * when the request has ended or the wait time has passed.
 	 * @param incarnation the incarnation of the owner
 	 * @param key the key of the claim
 	 * @param waitMs the longest wait in milliseconds
-	 * @return a future with the outcome, or empty if the owner is unreachable, dead or
-	 * still running the request after the wait; never completed exceptionally
+	 * @return a future with the outcome, or empty if the owner is unreachable, has been
+	 * replaced by a newer incarnation or has no outcome after the wait; never completed
+	 * exceptionally
 	 */
 	CompletableFuture<Optional<RecordedOutcome>> queryOutcome(String incarnation, ClaimKey key, long waitMs);
 
 	/**
-	 * Asks members what they know about a key. A member that holds an undispatched
-	 * attempt abandons it before it answers.
-	 * @param vms the names of the members to ask
+	 * Queries the state of a key at members. A member that holds an undispatched attempt
+	 * abandons it before it replies.
+	 * @param vms the names of the members
 	 * @param key the key
 	 * @param waitMs the longest wait in milliseconds
-	 * @return a future with the answers by VM name; members that did not answer are
-	 * missing; never completed exceptionally
+	 * @return a future with the states by VM name, without the members that did not reply
+	 * in time; never completed exceptionally
 	 */
 	CompletableFuture<Map<String, KeyState>> queryKey(Collection<String> vms, ClaimKey key, long waitMs);
 
 	/**
-	 * Sends crash strikes to all peers at once.
-	 * @param fingerprints the fingerprints with the endpoints that each crashed
+	 * Sends crash reports to all connected peers without waiting for the next heartbeat.
+	 * @param fingerprints the endpoints that crashed, by request fingerprint
 	 */
-	void spreadStrikes(Map<String, List<String>> fingerprints);
+	void broadcastCrashReports(Map<String, List<String>> fingerprints);
 
 	@Override
 	void close();
 
 	/**
-	 * What a member knows about a key.
+	 * State of a key at a member.
 	 */
 	enum KeyState {
 
 		/** The member has no attempt for the key. */
 		NONE,
 
-		/** The member had an attempt that never was dispatched, and abandoned it. */
+		/** The member had an attempt that was not dispatched, and has abandoned it. */
 		ABANDONED,
 
 		/** The member dispatched the request. */
 		DISPATCHED;
 
 		/**
-		 * Tells whether the answer rules out that this member ran the request.
+		 * Returns whether the state rules out that this member ran the request.
 		 * @return {@code true} unless the request was dispatched
 		 */
 		public boolean isNotRun() {
--- a/server/src/main/java/org/fulmargap/peer/PeerSettings.java
+++ b/server/src/main/java/org/fulmargap/peer/PeerSettings.java
@@ -5,19 +5,19 @@
 import java.util.Objects;
 
 /**
- * Settings of the links between entry VMs.
+ * Settings of the connections between entry VMs.
  *
  * @param listenAddress the address to accept links at
- * @param peers the addresses of the other entry VMs; the own address is ignored
- * @param heartbeatEveryMs the time between two heartbeats on a link, in milliseconds
- * @param silenceLimitMs the time without a frame after which a link is closed, in
- * milliseconds
+ * @param peers the addresses of the other entry VMs; {@code listenAddress} is ignored
+ * @param heartbeatIntervalMs the time between two heartbeats on a link, in milliseconds
+ * @param receiveTimeoutMs the time without a complete frame after which a link is closed,
+ * in milliseconds
  * @param maxFrameBytes the largest frame body in bytes
- * @param maxQueuedBytes the most bytes that wait on one link; a link that exceeds them is
- * closed
+ * @param maxQueuedBytes the largest number of bytes queued for sending on one link; a
+ * link that would exceed it is closed
  */
-public record PeerSettings(InetSocketAddress listenAddress, List<InetSocketAddress> peers, long heartbeatEveryMs,
-		long silenceLimitMs, int maxFrameBytes, int maxQueuedBytes) {
+public record PeerSettings(InetSocketAddress listenAddress, List<InetSocketAddress> peers, long heartbeatIntervalMs,
+		long receiveTimeoutMs, int maxFrameBytes, int maxQueuedBytes) {
 
 	/**
 	 * Checks the components.
@@ -25,8 +25,8 @@
 	public PeerSettings {
 		Objects.requireNonNull(listenAddress, "listenAddress");
 		peers = List.copyOf(peers);
-		if (heartbeatEveryMs <= 0 || silenceLimitMs <= heartbeatEveryMs) {
-			throw new IllegalArgumentException("silenceLimitMs must exceed heartbeatEveryMs");
+		if (heartbeatIntervalMs <= 0 || receiveTimeoutMs <= heartbeatIntervalMs) {
+			throw new IllegalArgumentException("receiveTimeoutMs must exceed heartbeatIntervalMs");
 		}
 		if (maxFrameBytes <= 0 || maxQueuedBytes < maxFrameBytes) {
 			throw new IllegalArgumentException("maxQueuedBytes must hold at least one frame");
@@ -34,7 +34,8 @@
 	}
 
 	/**
-	 * Creates settings with the limits that the design states.
+	 * Creates settings with the default limits: a heartbeat every 500 ms, a receive
+	 * timeout of 2 s, frames of at most 1 MiB and 4 MiB of queued bytes per link.
 	 * @param listenAddress the address to accept links at
 	 * @param peers the addresses of the other entry VMs
 	 * @return the settings
--- a/server/src/main/java/org/fulmargap/peer/PendingQueries.java
+++ b/server/src/main/java/org/fulmargap/peer/PendingQueries.java
@@ -12,15 +12,15 @@
 import org.fulmargap.membership.PeerMessage;
 
 /**
- * Queries that wait for their reply. A query whose link closes is sent again on another
- * link to the same peer until its time is over. Used by the I/O thread only.
+ * Queries that have not received their reply. A query whose link closes is sent again on
+ * another link to the same peer until its deadline. Used by the I/O thread only.
  */
 final class PendingQueries {
 
 	private final Map<Long, Pending> pending = new HashMap<>();
 
 	/**
-	 * Adds a query. It is sent by the next {@link #sendWaiting}.
+	 * Adds a query, which the next call of {@link #sendPending} sends.
 	 * @param query the query
 	 */
 	void add(Pending query) {
@@ -28,14 +28,15 @@
 	}
 
 	/**
-	 * Matches a reply with its query.
-	 * @param link the link that carried the reply
+	 * Completes the query of a reply.
+	 * @param link the link that received the reply
 	 * @param reply the reply
 	 * @throws FrameException if the reply has another class than the query expects
 	 */
-	void reply(PeerLink link, PeerMessage.Reply reply) throws FrameException {
+	void receiveReply(PeerLink link, PeerMessage.Reply reply) throws FrameException {
 		Pending query = this.pending.get(reply.queryId());
-		// A late reply, or one on another link than the query, is dropped.
+		// A late reply, or one that arrives on another link than the query used, is
+		// dropped.
 		if (query != null && query.link == link) {
 			if (!query.replyClass.isInstance(reply)) {
 				throw new FrameException(PeerEventType.UNEXPECTED_MESSAGE, "reply of another type than the query");
@@ -58,13 +59,13 @@
 	}
 
 	/**
-	 * Sends queries that have no link yet and ends those whose time is over or whose peer
-	 * cannot be reached.
+	 * Sends the queries that are not assigned to a link, and completes those without a
+	 * reply whose deadline has passed or whose peer is unreachable.
 	 * @param links the established links
 	 * @param sender sends a message on a link
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
-	void sendWaiting(List<PeerLink> links, Sender sender, long nowMs) {
+	void sendPending(List<PeerLink> links, Sender sender, long nowMs) {
 		for (Pending query : List.copyOf(this.pending.values())) {
 			if (query.link == null) {
 				query.link = links.stream()
@@ -75,17 +76,17 @@
 					sender.send(query.link, query.message);
 				}
 			}
-			if (nowMs >= query.deadlineMs || query.link == null && query.hopeless.getAsBoolean()) {
+			if (nowMs >= query.deadlineMs || query.link == null && query.unreachable.getAsBoolean()) {
 				this.pending.remove(query.message.queryId());
 				query.future.complete(Optional.empty());
 			}
 		}
 	}
 
-	void endAll() {
-		List<Pending> open = new ArrayList<>(this.pending.values());
+	void completeAll() {
+		List<Pending> remaining = new ArrayList<>(this.pending.values());
 		this.pending.clear();
-		open.forEach((query) -> query.future.complete(Optional.empty()));
+		remaining.forEach((query) -> query.future.complete(Optional.empty()));
 	}
 
 	/**
@@ -95,7 +96,7 @@
 	interface Sender {
 
 		/**
-		 * Sends a message. A failure closes the link.
+		 * Sends a message. If the link fails, it is closed.
 		 * @param link the link
 		 * @param message the message
 		 */
@@ -104,7 +105,7 @@
 	}
 
 	/**
-	 * One query.
+	 * Query that has not received its reply.
 	 */
 	static final class Pending {
 
@@ -114,7 +115,7 @@
 
 		private final Predicate<PeerLink> target;
 
-		private final BooleanSupplier hopeless;
+		private final BooleanSupplier unreachable;
 
 		private final long deadlineMs;
 
@@ -126,16 +127,18 @@
 		 * Creates a query.
 		 * @param message the message
 		 * @param replyClass the class of the reply
-		 * @param target selects links that lead to the peer
-		 * @param hopeless tells whether to give up when there is no link
-		 * @param deadlineMs when to give up, milliseconds since the epoch
+		 * @param target selects the links to the peer
+		 * @param unreachable returns whether the peer is unreachable; called only while
+		 * there is no link to it
+		 * @param deadlineMs the time at which the query ends without a reply,
+		 * milliseconds since the epoch
 		 */
 		Pending(PeerMessage.Query message, Class<? extends PeerMessage.Reply> replyClass, Predicate<PeerLink> target,
-				BooleanSupplier hopeless, long deadlineMs) {
+				BooleanSupplier unreachable, long deadlineMs) {
 			this.message = message;
 			this.replyClass = replyClass;
 			this.target = target;
-			this.hopeless = hopeless;
+			this.unreachable = unreachable;
 			this.deadlineMs = deadlineMs;
 		}
 
--- a/server/src/main/java/org/fulmargap/peer/RecentCrashReports.java
+++ b/server/src/main/java/org/fulmargap/peer/RecentCrashReports.java
@@ -7,40 +7,43 @@
 import java.util.stream.Collectors;
 
 /**
- * Crash strikes of this entry VM that a peer with a new link must get. Used by the I/O
- * thread only.
+ * Recent crash reports of this entry VM, which are sent to each peer with a new link.
+ * Used by the I/O thread only.
  */
 final class RecentCrashReports {
 
-	/** The time for which a request stays in quarantine. */
+	/**
+	 * How long a report is kept, in milliseconds. Equal to the time for which a request
+	 * stays in quarantine.
+	 */
 	static final long KEEP_MS = 600_000;
 
-	// 1,000 fingerprints of 64 digits with two endpoints each make about 120 KB, so that
-	// a heartbeat with all of them stays far below the frame bound.
+	// 1,000 fingerprints of 64 digits with two endpoints each take about 120 KB, so that
+	// a heartbeat with all of them is far smaller than the largest frame.
 	private static final int MAX_FINGERPRINTS = 1_000;
 
-	private final Map<String, Strike> strikes = new LinkedHashMap<>();
+	private final Map<String, CrashReport> crashReports = new LinkedHashMap<>();
 
 	void add(Map<String, List<String>> fingerprints, long nowMs) {
 		fingerprints.forEach((fingerprint, endpoints) -> {
-			this.strikes.remove(fingerprint);
-			this.strikes.put(fingerprint, new Strike(List.copyOf(endpoints), nowMs));
+			this.crashReports.remove(fingerprint);
+			this.crashReports.put(fingerprint, new CrashReport(List.copyOf(endpoints), nowMs));
 		});
-		Iterator<Strike> oldest = this.strikes.values().iterator();
-		while (this.strikes.size() > MAX_FINGERPRINTS) {
+		Iterator<CrashReport> oldest = this.crashReports.values().iterator();
+		while (this.crashReports.size() > MAX_FINGERPRINTS) {
 			oldest.next();
 			oldest.remove();
 		}
 	}
 
 	Map<String, List<String>> current(long nowMs) {
-		this.strikes.values().removeIf((strike) -> nowMs - strike.atMs() >= KEEP_MS);
-		return this.strikes.entrySet()
+		this.crashReports.values().removeIf((report) -> nowMs - report.atMs() >= KEEP_MS);
+		return this.crashReports.entrySet()
 			.stream()
 			.collect(Collectors.toUnmodifiableMap(Map.Entry::getKey, (entry) -> entry.getValue().endpoints()));
 	}
 
-	private record Strike(List<String> endpoints, long atMs) {
+	private record CrashReport(List<String> endpoints, long atMs) {
 	}
 
 }
--- a/server/src/main/java/org/fulmargap/peer/TcpPeerNetwork.java
+++ b/server/src/main/java/org/fulmargap/peer/TcpPeerNetwork.java
@@ -24,7 +24,7 @@
 
 /**
  * Links to the other entry VMs over TCP. Uses one I/O thread for all links and two
- * handler threads, whatever the number of peers.
+ * handler threads, independent of the number of peers.
  */
 public final class TcpPeerNetwork implements PeerNetwork {
 
@@ -36,7 +36,7 @@
 
 	private final LongSupplier clock;
 
-	private final RecentCrashReports strikes = new RecentCrashReports();
+	private final RecentCrashReports crashReports = new RecentCrashReports();
 
 	private final PendingQueries queries = new PendingQueries();
 
@@ -55,7 +55,7 @@
 	/**
 	 * Creates the network. No connection is made before {@link #start}.
 	 * @param settings the addresses and limits
-	 * @param membership records who was heard
+	 * @param membership records the messages of peers and detects failed peers
 	 * @param events receives the events of the links
 	 * @param clock returns milliseconds since the epoch
 	 */
@@ -67,15 +67,15 @@
 	}
 
 	/**
-	 * Opens the listener and starts to connect.
-	 * @param newHandler answers the peers
+	 * Opens the listener and starts to connect to the peers.
+	 * @param newHandler handles the queries and state updates of peers
 	 * @throws IOException if the listen address cannot be used
 	 */
 	public void start(PeerHandler newHandler) throws IOException {
 		this.handler = Objects.requireNonNull(newHandler, "newHandler");
 		FrameCodec codec = new FrameCodec(this.settings.maxFrameBytes());
 		this.dispatcher = new PeerDispatcher(this.settings, this.membership, newHandler, this.events, this.clock, codec,
-				this.queries, this.strikes, this.connected);
+				this.queries, this.crashReports, this.connected);
 		this.loop = new PeerLoop(this.settings, this.membership.self(), codec, this.dispatcher, this.events,
 				this.clock);
 		this.dispatcher.attach(this.loop);
@@ -84,7 +84,8 @@
 
 	/**
 	 * Returns the address of the listener.
-	 * @return the address, with the port that was chosen if the settings state port zero
+	 * @return the address, with the port assigned by the system if the settings state
+	 * port zero
 	 * @throws IOException if the network is closed
 	 */
 	public InetSocketAddress localAddress() throws IOException {
@@ -92,8 +93,8 @@
 	}
 
 	/**
-	 * Returns the VMs with which a link is up.
-	 * @return names of VMs
+	 * Returns the VMs to which a link is established.
+	 * @return the names of the VMs
 	 */
 	public Set<String> connectedVms() {
 		return Set.copyOf(this.connected);
@@ -110,13 +111,13 @@
 		}
 		PeerMessage.Query query = new PeerMessage.OutcomeQuery(this.queryIds.incrementAndGet(), key.account(),
 				key.key(), waitMs);
-		return askIncarnation(owner, query, PeerMessage.OutcomeReply.class, waitMs)
+		return queryIncarnation(owner, query, PeerMessage.OutcomeReply.class, waitMs)
 			.thenApply((reply) -> reply.flatMap(PeerMessage.OutcomeReply::result));
 	}
 
 	@Override
 	public CompletableFuture<Map<String, KeyState>> queryKey(Collection<String> vms, ClaimKey key, long waitMs) {
-		return askAll(vms, waitMs,
+		return queryAll(vms, waitMs,
 				() -> new PeerMessage.KeyQuery(this.queryIds.incrementAndGet(), key.account(), key.key()),
 				PeerMessage.KeyReply.class)
 			.thenApply((replies) -> {
@@ -132,15 +133,15 @@
 	}
 
 	/**
-	 * Pushes an order to members at once.
+	 * Sends an order to members without waiting for the next heartbeat.
 	 * @param order the order
 	 * @param vms the names of the members; this VM is skipped
 	 * @param waitMs the longest wait in milliseconds
-	 * @return a future with the names of the members that hold the order now, never
+	 * @return a future with the names of the members that have confirmed the order, never
 	 * completed exceptionally
 	 */
 	public CompletableFuture<Set<String>> pushOrder(AdminOrder order, Collection<String> vms, long waitMs) {
-		return askAll(vms, waitMs, () -> new PeerMessage.OrderPush(this.queryIds.incrementAndGet(), order),
+		return queryAll(vms, waitMs, () -> new PeerMessage.OrderPush(this.queryIds.incrementAndGet(), order),
 				PeerMessage.OrderAck.class)
 			.thenApply((replies) -> replies.entrySet()
 				.stream()
@@ -150,11 +151,12 @@
 	}
 
 	/**
-	 * Asks all configured peers for their configuration. Used at start, when links may
-	 * not be up yet: an address is given up after its first failed attempt.
+	 * Requests the configuration of all configured peers. Used while the log does not
+	 * answer, also at start, when links may not be established yet: the query to an
+	 * address ends without a reply when a connection attempt to it fails.
 	 * @param waitMs the longest wait in milliseconds
-	 * @return a future with the configurations that peers know, highest version first;
-	 * never completed exceptionally
+	 * @return a future with the configurations of the peers that have one, highest
+	 * version first; never completed exceptionally
 	 */
 	public CompletableFuture<List<PeerHandler.ConfigCopy>> fetchConfigs(long waitMs) {
 		CompletableFuture<List<PeerHandler.ConfigCopy>> result = new CompletableFuture<>();
@@ -162,10 +164,10 @@
 			List<CompletableFuture<Optional<PeerMessage.Reply>>> replies = new ArrayList<>();
 			for (Dialer dialer : this.loop.links().dialers()) {
 				long failures = dialer.failures();
-				replies.add(add(new PendingQueries.Pending(new PeerMessage.ConfigFetch(this.queryIds.incrementAndGet()),
-						PeerMessage.ConfigReply.class,
+				replies.add(addQuery(new PendingQueries.Pending(
+						new PeerMessage.ConfigFetch(this.queryIds.incrementAndGet()), PeerMessage.ConfigReply.class,
 						(link) -> dialer.address().equals(link.dialedAddress())
-								|| dialer.text().equals(link.remote().peerAddress()),
+								|| dialer.addressText().equals(link.remote().peerAddress()),
 						() -> dialer.failures() > failures, this.clock.getAsLong() + waitMs)));
 			}
 			CompletableFuture.allOf(replies.toArray(CompletableFuture[]::new))
@@ -184,12 +186,13 @@
 	}
 
 	@Override
-	public void spreadStrikes(Map<String, List<String>> fingerprints) {
-		submit(() -> this.dispatcher.spreadStrikes(fingerprints));
+	public void broadcastCrashReports(Map<String, List<String>> fingerprints) {
+		submit(() -> this.dispatcher.broadcastCrashReports(fingerprints));
 	}
 
 	/**
-	 * Sends a heartbeat on all links now, for example when this VM starts to leave.
+	 * Sends a heartbeat on all links without waiting for the next interval, for example
+	 * when this VM starts to shut down.
 	 */
 	public void sendHeartbeats() {
 		submit(() -> this.dispatcher.sendHeartbeats(this.clock.getAsLong()));
@@ -204,12 +207,12 @@
 		}
 	}
 
-	private <R extends PeerMessage.Reply> CompletableFuture<Map<String, R>> askAll(Collection<String> vms, long waitMs,
-			java.util.function.Supplier<PeerMessage.Query> queryFactory, Class<R> replyClass) {
+	private <R extends PeerMessage.Reply> CompletableFuture<Map<String, R>> queryAll(Collection<String> vms,
+			long waitMs, java.util.function.Supplier<PeerMessage.Query> queryFactory, Class<R> replyClass) {
 		Map<String, CompletableFuture<Optional<R>>> replies = vms.stream()
 			.filter((vm) -> !vm.equals(this.membership.self().vm()))
 			.distinct()
-			.collect(Collectors.toMap((vm) -> vm, (vm) -> askVm(vm, queryFactory.get(), replyClass, waitMs)));
+			.collect(Collectors.toMap((vm) -> vm, (vm) -> queryVm(vm, queryFactory.get(), replyClass, waitMs)));
 		return CompletableFuture.allOf(replies.values().toArray(CompletableFuture[]::new))
 			.thenApply((ignored) -> replies.entrySet()
 				.stream()
@@ -217,33 +220,33 @@
 				.collect(Collectors.toMap(Map.Entry::getKey, (entry) -> entry.getValue().join().get())));
 	}
 
-	private <R extends PeerMessage.Reply> CompletableFuture<Optional<R>> askVm(String vm, PeerMessage.Query query,
+	private <R extends PeerMessage.Reply> CompletableFuture<Optional<R>> queryVm(String vm, PeerMessage.Query query,
 			Class<R> replyClass, long waitMs) {
-		return ask(query, replyClass, waitMs, (link) -> link.remote().vm().equals(vm),
+		return query(query, replyClass, waitMs, (link) -> link.remote().vm().equals(vm),
 				() -> !this.membership.isAlive(vm, this.clock.getAsLong()));
 	}
 
-	private <R extends PeerMessage.Reply> CompletableFuture<Optional<R>> askIncarnation(Incarnation incarnation,
+	private <R extends PeerMessage.Reply> CompletableFuture<Optional<R>> queryIncarnation(Incarnation incarnation,
 			PeerMessage.Query query, Class<R> replyClass, long waitMs) {
-		return ask(query, replyClass, waitMs, (link) -> link.remote().incarnation().equals(incarnation),
+		return query(query, replyClass, waitMs, (link) -> link.remote().incarnation().equals(incarnation),
 				() -> !this.membership.isAlive(incarnation.vm(), this.clock.getAsLong())
 						|| !this.membership.incarnation(incarnation.vm()).equals(Optional.of(incarnation)));
 	}
 
-	private <R extends PeerMessage.Reply> CompletableFuture<Optional<R>> ask(PeerMessage.Query query,
+	private <R extends PeerMessage.Reply> CompletableFuture<Optional<R>> query(PeerMessage.Query query,
 			Class<R> replyClass, long waitMs, java.util.function.Predicate<PeerLink> target,
-			java.util.function.BooleanSupplier hopeless) {
-		PendingQueries.Pending pending = new PendingQueries.Pending(query, replyClass, target, hopeless,
+			java.util.function.BooleanSupplier unreachable) {
+		PendingQueries.Pending pending = new PendingQueries.Pending(query, replyClass, target, unreachable,
 				this.clock.getAsLong() + waitMs);
-		if (!submit(() -> add(pending))) {
+		if (!submit(() -> addQuery(pending))) {
 			return CompletableFuture.completedFuture(Optional.empty());
 		}
 		return pending.future().thenApply((reply) -> reply.map(replyClass::cast));
 	}
 
-	private CompletableFuture<Optional<PeerMessage.Reply>> add(PendingQueries.Pending pending) {
+	private CompletableFuture<Optional<PeerMessage.Reply>> addQuery(PendingQueries.Pending pending) {
 		this.queries.add(pending);
-		this.dispatcher.sendWaiting(this.clock.getAsLong());
+		this.dispatcher.sendPending(this.clock.getAsLong());
 		return pending.future();
 	}
 
--- a/server/src/main/java/org/fulmargap/peer/package-info.java
+++ b/server/src/main/java/org/fulmargap/peer/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Connections between entry VMs.
+ * Connections between entry VMs and the messages that they exchange over them.
  */
 package org.fulmargap.peer;
--- a/server/src/main/java/org/fulmargap/pipeline/EndpointMonitor.java
+++ b/server/src/main/java/org/fulmargap/pipeline/EndpointMonitor.java
@@ -23,7 +23,7 @@
 
 	private final CrashQuarantine quarantine;
 
-	private final Consumer<Map<String, List<String>>> spreadStrikes;
+	private final Consumer<Map<String, List<String>>> broadcastCrashReports;
 
 	private final Timeline timeline;
 
@@ -36,14 +36,14 @@
 	/**
 	 * Creates the watch.
 	 * @param quarantine keeps the strikes
-	 * @param spreadStrikes sends new strikes to all peers
+	 * @param broadcastCrashReports sends new crash reports to all peers
 	 * @param timeline receives new strikes
 	 * @param clock the source of the present time in milliseconds since the epoch
 	 */
-	public EndpointMonitor(CrashQuarantine quarantine, Consumer<Map<String, List<String>>> spreadStrikes,
+	public EndpointMonitor(CrashQuarantine quarantine, Consumer<Map<String, List<String>>> broadcastCrashReports,
 			Timeline timeline, LongSupplier clock) {
 		this.quarantine = quarantine;
-		this.spreadStrikes = spreadStrikes;
+		this.broadcastCrashReports = broadcastCrashReports;
 		this.timeline = timeline;
 		this.clock = clock;
 	}
@@ -84,7 +84,7 @@
 		Map<String, List<String>> strikes = this.quarantine.confirmCrash(endpoint, this.clock.getAsLong());
 		if (!strikes.isEmpty()) {
 			this.timeline.record(EventType.CRASH_STRIKE, "", 0, "endpoint", endpoint, "fingerprints", strikes.keySet());
-			this.spreadStrikes.accept(strikes);
+			this.broadcastCrashReports.accept(strikes);
 		}
 	}
 
--- a/server/src/main/java/org/fulmargap/server/MaintenanceTasks.java
+++ b/server/src/main/java/org/fulmargap/server/MaintenanceTasks.java
@@ -99,7 +99,7 @@
 					silent);
 		}
 		this.config.notePeerVersion(this.membership.highestPeerVersion(nowMs));
-		this.orders.repeatAppends(nowMs);
+		this.orders.retryAppends(nowMs);
 		if (silent) {
 			fetchConfiguration();
 		}
--- a/server/src/main/java/org/fulmargap/server/PeerAnswers.java
+++ b/server/src/main/java/org/fulmargap/server/PeerAnswers.java
@@ -47,8 +47,8 @@
 	}
 
 	@Override
-	public void mergeStrikes(Map<String, List<String>> strikes) {
-		this.quarantine.mergeCrashReports(strikes, this.clock.getAsLong());
+	public void mergeCrashReports(Map<String, List<String>> crashReports) {
+		this.quarantine.mergeCrashReports(crashReports, this.clock.getAsLong());
 	}
 
 	@Override
--- a/server/src/main/java/org/fulmargap/server/ServerModule.java
+++ b/server/src/main/java/org/fulmargap/server/ServerModule.java
@@ -55,7 +55,7 @@
 	@Singleton
 	static EndpointMonitor endpointMonitor(CrashQuarantine quarantine, TcpPeerNetwork network, Timeline timeline,
 			LongSupplier clock) {
-		return new EndpointMonitor(quarantine, network::spreadStrikes, timeline, clock);
+		return new EndpointMonitor(quarantine, network::broadcastCrashReports, timeline, clock);
 	}
 
 	@Provides
--- a/server/src/test/java/org/fulmargap/ledger/SimulatedVms.java
+++ b/server/src/test/java/org/fulmargap/ledger/SimulatedVms.java
@@ -194,7 +194,7 @@
 		}
 
 		@Override
-		public void spreadStrikes(Map<String, List<String>> fingerprints) {
+		public void broadcastCrashReports(Map<String, List<String>> fingerprints) {
 			// Not part of these tests.
 		}
 
--- a/server/src/test/java/org/fulmargap/peer/FrameCodecProperties.java
+++ b/server/src/test/java/org/fulmargap/peer/FrameCodecProperties.java
@@ -21,8 +21,9 @@
 import static org.assertj.core.api.Assertions.assertThatExceptionOfType;
 
 /**
- * Guards against frames that change on the way, or that stop the I/O thread because
- * decoding fails with something else than a typed exception.
+ * Guards against messages that change when they are encoded and decoded, and against
+ * damaged frames that stop the I/O thread because decoding throws an exception other than
+ * {@link FrameException}.
  */
 class FrameCodecProperties {
 
@@ -43,14 +44,14 @@
 	private final FrameCodec codec = new FrameCodec(4_096);
 
 	@Example
-	void returnsEachMessageUnchanged() throws Exception {
+	void decodesEachMessageUnchanged() throws Exception {
 		for (PeerMessage message : MESSAGES) {
 			assertThat(this.codec.decode(body(message))).isEqualTo(message);
 		}
 	}
 
 	@Example
-	void refusesTrailingBytesAndMessagesAboveTheBound() throws Exception {
+	void rejectsTrailingBytesAndMessagesAboveTheSizeLimit() throws Exception {
 		byte[] body = body(MESSAGES.get(0));
 		assertThatExceptionOfType(FrameException.class)
 			.isThrownBy(() -> this.codec.decode(Arrays.copyOf(body, body.length + 1)));
--- a/server/src/test/java/org/fulmargap/peer/OrderSpreadProperties.java
+++ b/server/src/test/java/org/fulmargap/peer/OrderPropagationProperties.java
@@ -25,10 +25,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against orders that do not reach a VM that can be reached, are reported as
- * confirmed by a VM that does not hold them, or revert after a cut.
+ * Guards against orders that do not reach a connected VM, are reported as confirmed by a
+ * VM that does not hold them, or are reverted after a network partition.
  */
-class OrderSpreadProperties {
+class OrderPropagationProperties {
 
 	private static final List<Target> TARGETS = List.of(Target.failureDomain("d0"), Target.failureDomain("d1"),
 			Target.endpoint("e0"));
@@ -39,15 +39,15 @@
 		for (int step = 0; step < 80; step++) {
 			switch (random.nextInt(8)) {
 				case 0, 1 -> cluster.issue();
-				case 2 -> cluster.cutRandomly();
-				case 3 -> cluster.cuts.clear();
-				case 4 -> cluster.restartOne();
-				default -> cluster.heartbeats(500);
+				case 2 -> cluster.partitionRandomly();
+				case 3 -> cluster.cutLinks.clear();
+				case 4 -> cluster.restartRandomNode();
+				default -> cluster.exchangeHeartbeats(500);
 			}
 		}
-		cluster.cuts.clear();
-		cluster.heartbeats(500);
-		cluster.heartbeats(500);
+		cluster.cutLinks.clear();
+		cluster.exchangeHeartbeats(500);
+		cluster.exchangeHeartbeats(500);
 		cluster.assertAgreement();
 	}
 
@@ -57,7 +57,7 @@
 
 		private final List<Node> nodes = new ArrayList<>();
 
-		private final Set<Set<Integer>> cuts = new HashSet<>();
+		private final Set<Set<Integer>> cutLinks = new HashSet<>();
 
 		private long nowMs = 1_000_000;
 
@@ -66,27 +66,27 @@
 			for (int i = 0; i < count; i++) {
 				this.nodes.add(new Node(this, i, this.nowMs));
 			}
-			heartbeats(500);
+			exchangeHeartbeats(500);
 		}
 
 		private boolean connected(int left, int right) {
-			return left == right || !this.cuts.contains(Set.of(left, right));
+			return left == right || !this.cutLinks.contains(Set.of(left, right));
 		}
 
-		private void cutRandomly() {
+		private void partitionRandomly() {
 			for (int left = 0; left < this.nodes.size(); left++) {
 				for (int right = 0; right < left; right++) {
 					if (this.random.nextInt(3) == 0) {
-						this.cuts.add(Set.of(left, right));
+						this.cutLinks.add(Set.of(left, right));
 					}
 				}
 			}
 		}
 
-		private void restartOne() {
-			// An order that one VM holds alone is lost with it; only then may a register
-			// go back. The test therefore restarts a VM only if another one holds as
-			// much.
+		private void restartRandomNode() {
+			// An order that only one VM holds is lost when that VM restarts, and its
+			// register may then revert. Therefore a VM is restarted only if another VM
+			// holds all its orders.
 			int index = this.random.nextInt(this.nodes.size());
 			AdminOrders held = this.nodes.get(index).service.current();
 			if (this.nodes.stream()
@@ -100,7 +100,7 @@
 			Node issuer = this.nodes.get(this.random.nextInt(this.nodes.size()));
 			Target target = TARGETS.get(this.random.nextInt(TARGETS.size()));
 			State state = State.values()[this.random.nextInt(2)];
-			// Clocks of VMs differ by up to a second.
+			// The clocks of the VMs differ by up to a second.
 			OrderService.OrderResult result = issuer.service
 				.issue(target, state, 100, this.nowMs + this.random.nextInt(1_000))
 				.join();
@@ -114,8 +114,8 @@
 			assertThat(result.isInForce()).isEqualTo(result.confirmed().size() == this.nodes.size());
 		}
 
-		private void heartbeats(long passedMs) {
-			this.nowMs += passedMs;
+		private void exchangeHeartbeats(long elapsedMs) {
+			this.nowMs += elapsedMs;
 			for (Node sender : this.nodes) {
 				for (Node receiver : this.nodes) {
 					if (sender != receiver && connected(sender.index, receiver.index)) {
@@ -154,7 +154,7 @@
 
 		private final OrderService service;
 
-		private final Map<Target, AdminOrder> highest = new HashMap<>();
+		private final Map<Target, AdminOrder> latest = new HashMap<>();
 
 		private Node(Cluster cluster, int index, long nowMs) {
 			this.cluster = cluster;
@@ -163,16 +163,16 @@
 			this.view = new MembershipView(hello, MembershipLimits.DEFAULTS, nowMs);
 			this.service = new OrderService(hello.vm(), hello.incarnation().toString(),
 					() -> cluster.nodes.stream().map(Node::vm).toList(), this::push, (order) -> {
-					}, this::changed);
+					}, this::checkNotReverted);
 		}
 
 		private String vm() {
 			return this.view.self().vm();
 		}
 
-		private void changed(AdminOrders orders) {
-			this.highest.forEach((target, order) -> assertThat(orders.covers(order)).as("%s reverted", order).isTrue());
-			orders.list().forEach((order) -> this.highest.put(order.target(), order));
+		private void checkNotReverted(AdminOrders orders) {
+			this.latest.forEach((target, order) -> assertThat(orders.covers(order)).as("%s reverted", order).isTrue());
+			orders.list().forEach((order) -> this.latest.put(order.target(), order));
 		}
 
 		private CompletableFuture<Set<String>> push(AdminOrder order, Collection<String> vms, long waitMs) {
@@ -189,10 +189,10 @@
 		private void receive(Node sender, long nowMs) {
 			AdminOrders orders = sender.service.current();
 			this.view.receiveHello(sender.view.self(), nowMs);
-			List<AdminOrder> repeated = (orders.checksum() != this.service.current().checksum()) ? orders.list()
+			List<AdminOrder> orderList = (orders.checksum() != this.service.current().checksum()) ? orders.list()
 					: List.of();
 			Heartbeat heartbeat = new Heartbeat(sender.view.self().incarnation(), false, 0, 0, null, null,
-					orders.checksum(), repeated, null);
+					orders.checksum(), orderList, null);
 			assertThat(this.view.receiveHeartbeat(heartbeat, nowMs)).isTrue();
 			this.service.merge(heartbeat.orders(), nowMs);
 		}
--- a/server/src/test/java/org/fulmargap/peer/OrderServiceTests.java
+++ b/server/src/test/java/org/fulmargap/peer/OrderServiceTests.java
@@ -14,8 +14,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against orders that never reach the log because the log was down, or because
- * their issuer died before it could append them.
+ * Guards against orders that are missing from the log because the log was down when they
+ * were issued, or because their issuer died before it appended them.
  */
 class OrderServiceTests {
 
@@ -31,38 +31,38 @@
 	class Appends {
 
 		@Test
-		void ofOwnOrdersAreRepeatedUntilTheLogHasThem() {
+		void ofOwnOrdersAreRetriedUntilTheyAreReadFromTheLog() {
 			OrderService service = OrderServiceTests.this.service;
 			OrderService.OrderResult result = service.issue(TARGET, State.OUT, 100, 1_000).join();
 			assertThat(result.notConfirmed()).containsExactly("b");
-			service.repeatAppends(5_900);
+			service.retryAppends(5_900);
 			assertThat(OrderServiceTests.this.appended).containsExactly(result.order());
-			service.repeatAppends(6_000);
-			service.repeatAppends(11_000);
+			service.retryAppends(6_000);
+			service.retryAppends(11_000);
 			assertThat(OrderServiceTests.this.appended).hasSize(3).containsOnly(result.order());
 			service.mergeFromLog(List.of(result.order()), 12_000);
-			service.repeatAppends(60_000);
+			service.retryAppends(60_000);
 			assertThat(OrderServiceTests.this.appended).hasSize(3);
 		}
 
 		@Test
-		void ofOrdersOfOtherVmsWaitForTheirIssuer() {
+		void ofOrdersOfOtherVmsStartAfterADelay() {
 			AdminOrder order = new AdminOrder(TARGET, State.OUT, 5, "b-1");
 			OrderServiceTests.this.service.merge(List.of(order), 1_000);
-			OrderServiceTests.this.service.repeatAppends(30_900);
+			OrderServiceTests.this.service.retryAppends(30_900);
 			assertThat(OrderServiceTests.this.appended).isEmpty();
-			OrderServiceTests.this.service.repeatAppends(31_000);
+			OrderServiceTests.this.service.retryAppends(31_000);
 			assertThat(OrderServiceTests.this.appended).containsExactly(order);
 		}
 
 		@Test
-		void areNotEndedByAnOlderOrderInTheLog() {
+		void areNotStoppedByAnOlderOrderInTheLog() {
 			AdminOrder older = new AdminOrder(TARGET, State.OUT, 5, "b-1");
 			AdminOrder newer = new AdminOrder(TARGET, State.IN, 6, "b-1");
 			OrderServiceTests.this.service.merge(List.of(newer), 1_000);
 			OrderServiceTests.this.service.mergeFromLog(List.of(older), 2_000);
 			assertThat(OrderServiceTests.this.service.current().find(TARGET)).contains(newer);
-			OrderServiceTests.this.service.repeatAppends(31_000);
+			OrderServiceTests.this.service.retryAppends(31_000);
 			assertThat(OrderServiceTests.this.appended).containsExactly(newer);
 		}
 
--- a/server/src/test/java/org/fulmargap/peer/PeerFaultTests.java
+++ b/server/src/test/java/org/fulmargap/peer/PeerFaultTests.java
@@ -23,9 +23,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against a faulty peer that disturbs the links to other peers.
+ * Guards against a faulty peer that affects the links to other peers.
  */
-// Without the bound, a link that stays open by mistake would block a read for ever.
+// Without the timeout, a link that is not closed because of a fault would block a read
+// indefinitely.
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class PeerFaultTests {
 
@@ -67,7 +68,7 @@
 	}
 
 	private void assertClosed(Socket socket, PeerEventType type, String peer) throws Exception {
-		// Reads what the node still sent until the end of the connection.
+		// Reads and discards what the node sent until it closed the connection.
 		socket.getInputStream().readAllBytes();
 		this.node.awaitEvent(type, peer);
 		assertHealthyLink();
@@ -98,7 +99,7 @@
 		}
 
 		@Test
-		void aboveTheBoundCloseOnlyTheirLink() throws Exception {
+		void aboveTheSizeLimitCloseOnlyTheirLink() throws Exception {
 			try (Socket socket = dial()) {
 				socket.getOutputStream().write(hello("vm-x", 1, Hello.PROTOCOL_VERSION));
 				socket.getOutputStream().write(new byte[] { 0x7f, 0, 0, 0 });
@@ -137,22 +138,22 @@
 	}
 
 	@Nested
-	class SilentLinks {
+	class UnresponsiveLinks {
 
 		@Test
 		void areClosedAndReopened() throws Exception {
-			// Accepts connections in the backlog and never answers.
-			try (ServerSocket silent = new ServerSocket(PeerFaultTests.this.addresses.get(2).getPort(), 5,
+			// Listens at the address of the third peer and sends nothing but one hello.
+			try (ServerSocket unresponsive = new ServerSocket(PeerFaultTests.this.addresses.get(2).getPort(), 5,
 					PeerFaultTests.this.addresses.get(2).getAddress())) {
-				silent.setSoTimeout((int) PeerNode.WAIT_MS);
-				try (Socket first = silent.accept()) {
+				unresponsive.setSoTimeout((int) PeerNode.WAIT_MS);
+				try (Socket first = unresponsive.accept()) {
 					first.setSoTimeout((int) PeerNode.WAIT_MS);
 					first.getOutputStream().write(hello("vm-c", 1, Hello.PROTOCOL_VERSION));
 					long startMs = System.currentTimeMillis();
 					assertClosed(first, PeerEventType.LINK_SILENT, "vm-c");
 					assertThat(System.currentTimeMillis() - startMs).isBetween(1_900L, 4_000L);
 				}
-				try (Socket second = silent.accept()) {
+				try (Socket second = unresponsive.accept()) {
 					second.setSoTimeout((int) PeerNode.WAIT_MS);
 					assertThat(new DataInputStream(second.getInputStream()).readInt()).isPositive();
 				}
@@ -160,7 +161,7 @@
 		}
 
 		@Test
-		void doNotHoldUpQueries() throws Exception {
+		void doNotDelayQueriesToOtherPeers() throws Exception {
 			try (Socket socket = dial()) {
 				socket.getOutputStream().write(hello("vm-x", 1, Hello.PROTOCOL_VERSION));
 				PeerFaultTests.this.node.awaitEvent(PeerEventType.LINK_UP, "vm-x");
@@ -178,7 +179,7 @@
 	class Incarnations {
 
 		@Test
-		void olderOnesNeverReplaceANewerOne() throws Exception {
+		void olderOnesDoNotReplaceANewerOne() throws Exception {
 			try (Socket older = dial()) {
 				older.getOutputStream().write(hello("vm-b", 4, Hello.PROTOCOL_VERSION));
 				String local = "127.0.0.1:" + older.getLocalPort();
@@ -190,7 +191,7 @@
 		}
 
 		@Test
-		void newerOnesEndTheLinksOfOlderOnes() throws Exception {
+		void newerOnesCloseTheLinksOfOlderOnes() throws Exception {
 			try (Socket newer = dial()) {
 				newer.getOutputStream().write(hello("vm-b", 6, Hello.PROTOCOL_VERSION));
 				assertThat(PeerFaultTests.this.node.awaitEvent(PeerEventType.STALE_INCARNATION, "vm-b").detail())
--- a/server/src/test/java/org/fulmargap/peer/PeerNode.java
+++ b/server/src/test/java/org/fulmargap/peer/PeerNode.java
@@ -25,7 +25,8 @@
 import org.fulmargap.membership.MembershipView;
 
 /**
- * One entry VM's peer network with recorded events and settable answers.
+ * Peer network of one entry VM that records events and received state, and replies with
+ * configurable values.
  */
 final class PeerNode implements PeerHandler, AutoCloseable {
 
@@ -39,11 +40,11 @@
 
 	final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
 
-	private final List<Event> seen = new ArrayList<>();
+	private final List<Event> unmatched = new ArrayList<>();
 
-	final BlockingQueue<Map<String, List<String>>> strikes = new LinkedBlockingQueue<>();
+	final BlockingQueue<Map<String, List<String>>> crashReports = new LinkedBlockingQueue<>();
 
-	final BlockingQueue<Map<String, Long>> warmUps = new LinkedBlockingQueue<>();
+	final BlockingQueue<Map<String, Long>> warmUpStarts = new LinkedBlockingQueue<>();
 
 	final BlockingQueue<AdminOrders> orderChanges = new LinkedBlockingQueue<>();
 
@@ -51,7 +52,7 @@
 
 	final Map<ClaimKey, CompletableFuture<Optional<RecordedOutcome>>> outcomes = new ConcurrentHashMap<>();
 
-	volatile Map<String, Long> ownWarmUps = Map.of();
+	volatile Map<String, Long> ownWarmUpStarts = Map.of();
 
 	volatile long configVersion;
 
@@ -93,28 +94,28 @@
 	}
 
 	/**
-	 * Waits for an event that no earlier call returned.
+	 * Waits for an event that no earlier call has returned.
 	 */
 	Event awaitEvent(PeerEventType type, String peer) throws InterruptedException {
 		long endMs = System.currentTimeMillis() + WAIT_MS;
 		while (true) {
-			for (Event event : this.seen) {
+			for (Event event : this.unmatched) {
 				if (event.type() == type && event.peer().equals(peer)) {
-					this.seen.remove(event);
+					this.unmatched.remove(event);
 					return event;
 				}
 			}
 			Event event = this.events.poll(Math.max(0, endMs - System.currentTimeMillis()), TimeUnit.MILLISECONDS);
 			if (event == null) {
-				throw new AssertionError("no event " + type + " of " + peer + ", seen: " + this.seen);
+				throw new AssertionError("no event " + type + " of " + peer + ", seen: " + this.unmatched);
 			}
-			this.seen.add(event);
+			this.unmatched.add(event);
 		}
 	}
 
 	@Override
 	public LocalStatus status() {
-		return new LocalStatus(false, this.configVersion, 0, this.ownWarmUps, this.orders.current());
+		return new LocalStatus(false, this.configVersion, 0, this.ownWarmUpStarts, this.orders.current());
 	}
 
 	@Override
@@ -123,13 +124,13 @@
 	}
 
 	@Override
-	public void mergeStrikes(Map<String, List<String>> received) {
-		this.strikes.add(received);
+	public void mergeCrashReports(Map<String, List<String>> received) {
+		this.crashReports.add(received);
 	}
 
 	@Override
 	public void mergeWarmUpStarts(Map<String, Long> starts) {
-		this.warmUps.add(starts);
+		this.warmUpStarts.add(starts);
 	}
 
 	@Override
--- a/server/src/test/java/org/fulmargap/peer/TcpPeerNetworkTests.java
+++ b/server/src/test/java/org/fulmargap/peer/TcpPeerNetworkTests.java
@@ -21,9 +21,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against messages between entry VMs that get lost, reach another asker or hang.
+ * Guards against messages between entry VMs that are lost, replies that are matched with
+ * the wrong query, and queries that never complete.
  */
-// Without the bound, a link that stays open by mistake would block a read for ever.
+// Without the timeout, a link that is not closed because of a fault would block a read
+// indefinitely.
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class TcpPeerNetworkTests {
 
@@ -57,7 +59,7 @@
 		}
 
 		@Test
-		void answersKeyQueriesOfEachMemberSeparately() {
+		void returnsTheKeyStateOfEachMember() {
 			this.second.keys.put(KEY, PeerNetwork.KeyState.ABANDONED);
 			this.third.keys.put(KEY, PeerNetwork.KeyState.DISPATCHED);
 			assertThat(this.first.network.queryKey(List.of("vm-a", "vm-b", "vm-c", "vm-d"), KEY, PeerNode.WAIT_MS)
@@ -71,13 +73,13 @@
 		void waitsForTheOutcomeOfARunningRequest() {
 			CompletableFuture<Optional<RecordedOutcome>> running = new CompletableFuture<>();
 			this.second.outcomes.put(KEY, running);
-			CompletableFuture<Optional<RecordedOutcome>> answer = this.first.network.queryOutcome("vm-b-1", KEY,
+			CompletableFuture<Optional<RecordedOutcome>> reply = this.first.network.queryOutcome("vm-b-1", KEY,
 					PeerNode.WAIT_MS);
 			assertThat(this.third.network.queryOutcome("vm-b-2", KEY, PeerNode.WAIT_MS).join()).isEmpty();
-			assertThat(answer).isNotDone();
+			assertThat(reply).isNotDone();
 			RecordedOutcome outcome = new RecordedOutcome(200, "{}", false);
 			running.complete(Optional.of(outcome));
-			assertThat(answer.join()).contains(outcome);
+			assertThat(reply.join()).contains(outcome);
 		}
 
 		@Test
@@ -91,17 +93,18 @@
 		}
 
 		@Test
-		void sendsStrikesAtOnceAndWarmUpStartsWithHeartbeats() throws Exception {
-			this.first.ownWarmUps = Map.of("e1", 7L);
-			this.first.network.spreadStrikes(Map.of("f1", List.of("e1")));
-			assertThat(this.second.strikes.poll(PeerNode.WAIT_MS, TimeUnit.MILLISECONDS))
+		void sendsCrashReportsImmediatelyAndWarmUpStartsInHeartbeats() throws Exception {
+			this.first.ownWarmUpStarts = Map.of("e1", 7L);
+			this.first.network.broadcastCrashReports(Map.of("f1", List.of("e1")));
+			assertThat(this.second.crashReports.poll(PeerNode.WAIT_MS, TimeUnit.MILLISECONDS))
 				.isEqualTo(Map.of("f1", List.of("e1")));
-			assertThat(this.third.warmUps.poll(PeerNode.WAIT_MS, TimeUnit.MILLISECONDS)).isEqualTo(Map.of("e1", 7L));
+			assertThat(this.third.warmUpStarts.poll(PeerNode.WAIT_MS, TimeUnit.MILLISECONDS))
+				.isEqualTo(Map.of("e1", 7L));
 		}
 
 		@Test
 		void keepsOneLinkPerPair() throws Exception {
-			// Either side may see the second connection close first.
+			// Either VM may detect the closing of the second connection first.
 			for (PeerNode node : List.of(this.second, this.third)) {
 				node.awaitEvent(PeerEventType.DUPLICATE_LINK, "vm-a");
 			}
@@ -111,8 +114,9 @@
 		}
 
 		@Test
-		void repeatsOrdersInHeartbeatsToPeersThatLackThem() throws Exception {
-			// Merged without a push, as if the issuer had died after it reached this VM.
+		void includesOrdersInHeartbeatsToPeersThatLackThem() throws Exception {
+			// Merged without a push, as if the issuer had died after it had sent the
+			// order to this VM only.
 			this.first.orders.merge(List.of(new AdminOrder(Target.endpoint("e1"), State.OUT, 9, "vm-z-1")),
 					System.currentTimeMillis());
 			for (PeerNode node : List.of(this.second, this.third)) {
@@ -122,13 +126,13 @@
 		}
 
 		@Test
-		void keepsLinksWhenItsOwnClockStepsOrItWasPaused() throws Exception {
+		void keepsLinksAfterAClockStepOrAPause() throws Exception {
 			for (long offsetMs : new long[] { 60_000, -60_000 }) {
 				this.first.clockOffsetMs = offsetMs;
-				this.first.ownWarmUps = Map.of("e1", offsetMs);
+				this.first.ownWarmUpStarts = Map.of("e1", offsetMs);
 				Map<String, Long> received = Map.of();
-				while (received != null && !received.equals(this.first.ownWarmUps)) {
-					received = this.second.warmUps.poll(PeerNode.WAIT_MS, TimeUnit.MILLISECONDS);
+				while (received != null && !received.equals(this.first.ownWarmUpStarts)) {
+					received = this.second.warmUpStarts.poll(PeerNode.WAIT_MS, TimeUnit.MILLISECONDS);
 				}
 				assertThat(received).as("heartbeat after a step of %s ms", offsetMs).isNotNull();
 				assertThat(this.first.events).noneMatch((event) -> event.type() == PeerEventType.LINK_SILENT);
@@ -136,11 +140,12 @@
 		}
 
 		@Test
-		void endsOpenQueriesWhenItIsClosed() {
+		void completesPendingQueriesWhenClosed() {
 			this.second.outcomes.put(KEY, new CompletableFuture<>());
-			CompletableFuture<Optional<RecordedOutcome>> open = this.first.network.queryOutcome("vm-b-1", KEY, 60_000);
+			CompletableFuture<Optional<RecordedOutcome>> pending = this.first.network.queryOutcome("vm-b-1", KEY,
+					60_000);
 			this.first.network.close();
-			assertThat(open.orTimeout(PeerNode.WAIT_MS, TimeUnit.MILLISECONDS).join()).isEmpty();
+			assertThat(pending.orTimeout(PeerNode.WAIT_MS, TimeUnit.MILLISECONDS).join()).isEmpty();
 			assertThat(this.first.network.fetchConfigs(60_000).join()).isEmpty();
 		}
 
