--- a/server/src/main/java/org/fulmargap/server/Address.java
+++ b/server/src/main/java/org/fulmargap/server/Address.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 
 /**
- * An IP address and a port.
+ * IP address and port.
  *
  * @param host the IP address
  * @param port the port
@@ -19,10 +19,10 @@
 	private static final Pattern IPV6 = Pattern.compile("\\[([0-9a-fA-F:.]+)]:(\\d{1,5})");
 
 	/**
-	 * Parses the text form.
+	 * Parses an address.
 	 * @param text {@code IP:port}, an IPv6 address in brackets
 	 * @return the address
-	 * @throws IllegalArgumentException if the text has another form
+	 * @throws IllegalArgumentException if the text does not have this form
 	 */
 	@JsonCreator(mode = JsonCreator.Mode.DELEGATING)
 	static Address parse(String text) {
--- a/server/src/main/java/org/fulmargap/server/AdmissionPools.java
+++ b/server/src/main/java/org/fulmargap/server/AdmissionPools.java
@@ -18,8 +18,9 @@
 import org.fulmargap.routing.Router;
 
 /**
- * Admits requests separately for each service that limits a pipeline, so that requests
- * which wait for a slow service do not hold back those for other services.
+ * Admits requests with a separate queue for each service that is the bottleneck of a
+ * pipeline, so that requests queued for a slow service do not delay those for other
+ * services.
  */
 final class AdmissionPools implements Admission {
 
@@ -45,11 +46,11 @@
 	@Override
 	public void admit(PipelineSpec pipeline, AdmissionRequest request, long nowMs, AdmissionListener listener) {
 		Pool pool = this.pools.computeIfAbsent(bottleneck(pipeline, nowMs), (service) -> newPool(pipeline, nowMs));
-		boolean hopeless = request.expectedMs() > request.deadline().remainingMs(nowMs);
-		if (hopeless && pool.trialRuns().compareAndSet(false, true)) {
+		boolean deadlineUnreachable = request.expectedMs() > request.deadline().remainingMs(nowMs);
+		if (deadlineUnreachable && pool.trialRunning().compareAndSet(false, true)) {
 			AdmissionRequest trial = new AdmissionRequest(request.account(), request.weight(), request.priority(),
 					request.deadline(), 0);
-			pool.controller().admit(trial, nowMs, new TrialListener(listener, pool.trialRuns()));
+			pool.controller().admit(trial, nowMs, new TrialListener(listener, pool.trialRunning()));
 		}
 		else {
 			pool.controller().admit(request, nowMs, listener);
@@ -57,8 +58,8 @@
 	}
 
 	/**
-	 * Adapts the slots to the present allowances and refuses requests that waited too
-	 * long.
+	 * Updates the number of slots to the current concurrency limits and refuses queued
+	 * requests that can no longer meet their deadline. Called periodically.
 	 */
 	void refresh() {
 		long nowMs = this.clock.getAsLong();
@@ -78,7 +79,7 @@
 		return Math.min(slots, this.maxInFlight);
 	}
 
-	// The service whose stages pass the fewest requests per second.
+	// Returns the service with the lowest throughput in requests per second.
 	private String bottleneck(PipelineSpec pipeline, long nowMs) {
 		return pipeline.stages()
 			.stream()
@@ -89,37 +90,39 @@
 	}
 
 	/**
-	 * The requests that wait for one service.
+	 * Queue of the requests that share a bottleneck service.
 	 *
-	 * @param pipeline the pipeline that determines the number of slots
-	 * @param controller admits the requests
-	 * @param trialRuns whether a trial is running
+	 * @param pipeline the pipeline of the first request, which determines the number of
+	 * slots
+	 * @param controller queues and admits the requests
+	 * @param trialRunning whether a trial request is queued or running
 	 */
-	private record Pool(PipelineSpec pipeline, AdmissionController controller, AtomicBoolean trialRuns) {
+	private record Pool(PipelineSpec pipeline, AdmissionController controller, AtomicBoolean trialRunning) {
 	}
 
 	/**
-	 * Passes on the decision about a trial and notes its end. A trial is a request that
-	 * is admitted although it is expected to miss its deadline. The expected times come
-	 * from answers, so after an incident that made them too long, only an answer can
-	 * correct them; without trials every request would be refused for ever.
+	 * Passes on the decision about a trial request and records its end. A trial request
+	 * is admitted although it is expected to miss its deadline. Expected durations are
+	 * measured on completed calls. If an incident has made them too long, only the result
+	 * of another call corrects them, so without trial requests all requests would be
+	 * refused permanently.
 	 *
 	 * @param listener receives the decision
-	 * @param runs set to {@code false} when the trial has ended
+	 * @param running set to {@code false} when the trial request has ended
 	 */
-	private record TrialListener(AdmissionListener listener, AtomicBoolean runs) implements AdmissionListener {
+	private record TrialListener(AdmissionListener listener, AtomicBoolean running) implements AdmissionListener {
 
 		@Override
 		public void admitted(Permit permit) {
 			this.listener.admitted((nowMs) -> {
-				this.runs.set(false);
+				this.running.set(false);
 				permit.release(nowMs);
 			});
 		}
 
 		@Override
 		public void refused(FulmargapException refusal) {
-			this.runs.set(false);
+			this.running.set(false);
 			this.listener.refused(refusal);
 		}
 
--- a/server/src/main/java/org/fulmargap/server/Availability.java
+++ b/server/src/main/java/org/fulmargap/server/Availability.java
@@ -9,24 +9,25 @@
 import org.fulmargap.pipeline.EndpointMonitor;
 
 /**
- * Collects the reasons for which endpoints get no new work.
+ * Determines which endpoints get no new work.
  *
  * @param orders the administrative orders
- * @param watch knows the endpoints that said they are leaving
- * @param vmList knows the VMs that the platform lists as leaving
+ * @param monitor holds the endpoints that reported that they are leaving
+ * @param vmList holds the VMs that the platform lists as leaving
  */
-record Availability(OrderService orders, EndpointMonitor watch, VmListWatch vmList) {
+record Availability(OrderService orders, EndpointMonitor monitor, VmListCache vmList) {
 
 	/**
-	 * Returns the endpoints that get no new work: those taken out, those leaving, and
-	 * while a configuration change is in doubt those that it would remove.
+	 * Returns the endpoints that get no new work: those taken out of service, those that
+	 * are leaving, and while a configuration change is in doubt, because its decision may
+	 * not have been read from the log, those that it would remove.
 	 * @param view the configuration in force
 	 * @return the names of the endpoints
 	 */
 	Set<String> unavailable(ConfigService.View view) {
 		Configuration configuration = view.configuration();
 		Set<String> names = new HashSet<>(this.orders.current().unavailableEndpoints(configuration));
-		names.addAll(this.watch.leaving());
+		names.addAll(this.monitor.leaving());
 		names.addAll(this.vmList.last().leaving());
 		view.pending()
 			.ifPresent((pending) -> configuration.endpoints()
--- a/server/src/main/java/org/fulmargap/server/CoreModule.java
+++ b/server/src/main/java/org/fulmargap/server/CoreModule.java
@@ -21,12 +21,15 @@
 import org.fulmargap.timeline.Timeline;
 
 /**
- * Says how the parts without input or output are made.
+ * Dependency injection module for the components without I/O.
  */
 @Module
 final class CoreModule {
 
-	/** Enough for all crashing requests of the quarantine time at the design size. */
+	/**
+	 * Enough for all crashing requests within the quarantine time in a deployment of the
+	 * size that the design assumes.
+	 */
 	private static final int MAX_FINGERPRINTS = 4096;
 
 	private CoreModule() {
--- a/server/src/main/java/org/fulmargap/server/EntryVm.java
+++ b/server/src/main/java/org/fulmargap/server/EntryVm.java
@@ -14,11 +14,12 @@
 import org.fulmargap.timeline.Timeline;
 
 /**
- * A running entry VM: starts its parts, drains and stops them.
+ * Entry VM with its lifecycle: starts the components, drains requests and stops the
+ * components.
  */
 final class EntryVm implements AutoCloseable {
 
-	private static final long POLL_NANOS = 10_000_000;
+	private static final long POLL_INTERVAL_NANOS = 10_000_000;
 
 	private final Settings settings;
 
@@ -32,7 +33,7 @@
 
 	private final EndpointClient client;
 
-	private final RouterFeed routerFeed;
+	private final RouterUpdater routerUpdater;
 
 	private final LoadPoller loadPoller;
 
@@ -45,7 +46,7 @@
 	private final LongSupplier clock;
 
 	EntryVm(Settings settings, Incarnation incarnation, Lifecycle lifecycle, Threads threads, Membership membership,
-			EndpointClient client, RouterFeed routerFeed, LoadPoller loadPoller, CallerApi callerApi,
+			EndpointClient client, RouterUpdater routerUpdater, LoadPoller loadPoller, CallerApi callerApi,
 			OperatorApi operatorApi, Timeline timeline, LongSupplier clock) {
 		this.settings = settings;
 		this.incarnation = incarnation;
@@ -53,7 +54,7 @@
 		this.threads = threads;
 		this.membership = membership;
 		this.client = client;
-		this.routerFeed = routerFeed;
+		this.routerUpdater = routerUpdater;
 		this.loadPoller = loadPoller;
 		this.callerApi = callerApi;
 		this.operatorApi = operatorApi;
@@ -62,7 +63,7 @@
 	}
 
 	/**
-	 * Starts all parts.
+	 * Starts all components.
 	 * @throws SettingsException if an address cannot be used
 	 */
 	void start() throws SettingsException {
@@ -73,7 +74,7 @@
 		catch (IOException ex) {
 			throw unusable("peer_address", this.settings.peerAddress(), ex);
 		}
-		this.routerFeed.start();
+		this.routerUpdater.start();
 		this.loadPoller.start();
 		listen("caller_address", this.settings.callerAddress(), this.callerApi::start);
 		this.timeline.record(EventType.STARTED, "", 0, "incarnation", this.incarnation, "caller_port",
@@ -108,8 +109,9 @@
 	}
 
 	/**
-	 * Shuts down without interrupting requests: announces the end, waits until no new
-	 * requests come and the running ones have ended, and stops.
+	 * Shuts down gracefully: announces the shutdown to peers, accepts new requests until
+	 * the notice time has passed, waits for running requests up to the drain limit, and
+	 * stops the components.
 	 */
 	void drain() {
 		long startMs = this.clock.getAsLong();
@@ -120,7 +122,7 @@
 		long limitMs = noticeEndMs + this.settings.drainLimitMs();
 		while (this.clock.getAsLong() < noticeEndMs
 				|| (this.callerApi.inFlight() > 0 && this.clock.getAsLong() < limitMs)) {
-			LockSupport.parkNanos(POLL_NANOS);
+			LockSupport.parkNanos(POLL_INTERVAL_NANOS);
 		}
 		this.membership.leave();
 		close();
@@ -131,7 +133,7 @@
 		int interrupted = this.callerApi.inFlight();
 		this.callerApi.close();
 		this.loadPoller.close();
-		this.routerFeed.close();
+		this.routerUpdater.close();
 		this.membership.close();
 		this.threads.stop();
 		this.client.close();
@@ -140,7 +142,7 @@
 	}
 
 	/**
-	 * Starts a server on an address.
+	 * Starts a listener on an address.
 	 */
 	@FunctionalInterface
 	private interface Listener {
--- a/server/src/main/java/org/fulmargap/server/FulmargapServer.java
+++ b/server/src/main/java/org/fulmargap/server/FulmargapServer.java
@@ -8,13 +8,13 @@
 import picocli.CommandLine;
 
 /**
- * Entry point of {@code fulmargapd}.
+ * Main class of {@code fulmargapd}.
  */
 @CommandLine.Command(name = "fulmargapd", version = "fulmargapd 0.1.0", mixinStandardHelpOptions = true,
 		description = "Serves pipelines of models as one entry VM.")
 public final class FulmargapServer implements Callable<Integer> {
 
-	/** Exit code for settings that cannot be used. */
+	/** Exit code for invalid settings. */
 	private static final int EXIT_SETTINGS = 2;
 
 	@CommandLine.Option(names = "--settings", required = true, paramLabel = "FILE",
@@ -28,7 +28,7 @@
 	}
 
 	/**
-	 * Runs the server until the process is told to stop.
+	 * Runs the server until the process is terminated.
 	 * @param args the command line
 	 */
 	public static void main(String[] args) {
--- a/server/src/main/java/org/fulmargap/server/IsolatedPolicy.java
+++ b/server/src/main/java/org/fulmargap/server/IsolatedPolicy.java
@@ -1,14 +1,14 @@
 package org.fulmargap.server;
 
 /**
- * What an entry VM does that is cut off from all other failure domains and the log.
+ * Behaviour of an entry VM that cannot reach any other failure domain or the log.
  */
 enum IsolatedPolicy {
 
-	/** It serves with the endpoints of its own failure domain. */
+	/** Serves requests with the endpoints of its own failure domain. */
 	SERVE_OWN_DOMAIN,
 
-	/** It refuses all requests as not run. */
+	/** Refuses all requests as not run. */
 	STOP;
 
 	boolean refusesRequests() {
--- a/server/src/main/java/org/fulmargap/server/KnownMembers.java
+++ b/server/src/main/java/org/fulmargap/server/KnownMembers.java
@@ -9,21 +9,21 @@
 import org.fulmargap.membership.MembershipView;
 
 /**
- * Names the members of the configuration stream and the entry VMs heard as peers. A VM
- * that joined while this one cannot read the log is known as a peer only, and it may have
- * run a request.
+ * Directory of the members that the configuration stream lists and of the entry VMs known
+ * as peers. A VM that joined while this one cannot read the log is known only as a peer,
+ * but may have run a request.
  */
 final class KnownMembers implements MemberDirectory {
 
 	private final MemberDirectory joined;
 
-	private final MembershipView heard;
+	private final MembershipView view;
 
 	private final LongSupplier clock;
 
-	KnownMembers(MemberDirectory joined, MembershipView heard, LongSupplier clock) {
+	KnownMembers(MemberDirectory joined, MembershipView view, LongSupplier clock) {
 		this.joined = joined;
-		this.heard = heard;
+		this.view = view;
 		this.clock = clock;
 	}
 
@@ -31,7 +31,7 @@
 	public Collection<String> vms() {
 		Collection<String> vms = new TreeSet<>(this.joined.vms());
 		if (!vms.isEmpty()) {
-			this.heard.members(this.clock.getAsLong()).stream().map(MemberStatus::vm).forEach(vms::add);
+			this.view.members(this.clock.getAsLong()).stream().map(MemberStatus::vm).forEach(vms::add);
 		}
 		return vms;
 	}
--- a/server/src/main/java/org/fulmargap/server/Lifecycle.java
+++ b/server/src/main/java/org/fulmargap/server/Lifecycle.java
@@ -1,7 +1,7 @@
 package org.fulmargap.server;
 
 /**
- * State of the process between start and stop.
+ * Lifecycle state of the entry VM: running or draining.
  */
 final class Lifecycle {
 
@@ -22,10 +22,10 @@
 	}
 
 	/**
-	 * Tells whether new requests are refused. For a while after the shutdown has begun
-	 * they are accepted, because load balancers notice it late.
-	 * @param nowMs the present time in milliseconds since the epoch
-	 * @return {@code true} once the notice time is over
+	 * Returns whether new requests are refused. They are still accepted during the notice
+	 * time after the shutdown has begun, because load balancers detect it with a delay.
+	 * @param nowMs the current time in milliseconds since the epoch
+	 * @return {@code true} when the notice time has passed
 	 */
 	boolean refusesRequests(long nowMs) {
 		return isDraining() && nowMs - this.drainingSinceMs >= this.drainNoticeMs;
--- a/server/src/main/java/org/fulmargap/server/PeerAnswers.java
+++ b/server/src/main/java/org/fulmargap/server/LocalPeerHandler.java
@@ -21,19 +21,20 @@
 import org.fulmargap.routing.Router;
 
 /**
- * Answers peers from the services of this entry VM.
+ * Handles queries and state updates of peers with the services of this entry VM.
  *
- * @param lifecycle says whether this entry VM is leaving
+ * @param lifecycle the lifecycle state of this entry VM
  * @param configService the configuration
  * @param claims the claims
  * @param orders the administrative orders
  * @param router holds the warm-up starts
- * @param quarantine holds the crash strikes
+ * @param quarantine holds the crash reports
  * @param inFlight returns the number of running requests
- * @param clock the source of the present time in milliseconds since the epoch
+ * @param clock the source of the current time in milliseconds since the epoch
  */
-record PeerAnswers(Lifecycle lifecycle, LogConfigService configService, LogClaimService claims, OrderService orders,
-		Router router, CrashQuarantine quarantine, IntSupplier inFlight, LongSupplier clock) implements PeerHandler {
+record LocalPeerHandler(Lifecycle lifecycle, LogConfigService configService, LogClaimService claims,
+		OrderService orders, Router router, CrashQuarantine quarantine, IntSupplier inFlight,
+		LongSupplier clock) implements PeerHandler {
 
 	@Override
 	public LocalStatus status() {
--- a/server/src/main/java/org/fulmargap/server/LoggedOrders.java
+++ b/server/src/main/java/org/fulmargap/server/LoggedOrders.java
@@ -9,7 +9,8 @@
 import org.fulmargap.membership.AdminOrder;
 
 /**
- * Converts administrative orders to and from their form in the configuration stream.
+ * Converts administrative orders to and from the registers of the configuration stream.
+ * Registers with an unknown kind of target are skipped.
  */
 final class LoggedOrders {
 
@@ -24,14 +25,14 @@
 	static List<AdminOrder> fromLog(Collection<OrderRegister> registers) {
 		List<AdminOrder> orders = new ArrayList<>();
 		for (OrderRegister register : registers) {
-			target(register.target()).ifPresent((target) -> orders
+			parseTarget(register.target()).ifPresent((target) -> orders
 				.add(new AdminOrder(target, register.out() ? AdminOrder.State.OUT : AdminOrder.State.IN,
 						register.counter(), register.issuer())));
 		}
 		return orders;
 	}
 
-	private static Optional<AdminOrder.Target> target(String text) {
+	private static Optional<AdminOrder.Target> parseTarget(String text) {
 		for (AdminOrder.TargetKind kind : AdminOrder.TargetKind.values()) {
 			String prefix = kind.label() + "/";
 			if (text.startsWith(prefix) && text.length() > prefix.length()) {
--- a/server/src/main/java/org/fulmargap/server/MaintenanceTasks.java
+++ b/server/src/main/java/org/fulmargap/server/MaintenanceTasks.java
@@ -17,8 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Connects configuration, members, orders and the VM list, and does what is due now and
- * then.
+ * Passes configuration changes to the membership view and the orders, and runs periodic
+ * maintenance: reads the VM list, retries appends of orders, fetches the configuration
+ * from peers while the log does not answer, and evicts unresponsive members.
  */
 final class MaintenanceTasks implements AutoCloseable {
 
@@ -36,7 +37,7 @@
 
 	private final TcpPeerNetwork network;
 
-	private final VmListWatch vmList;
+	private final VmListCache vmList;
 
 	private final Timeline timeline;
 
@@ -50,10 +51,10 @@
 		return thread;
 	});
 
-	private boolean logSilent;
+	private boolean logFailing;
 
 	MaintenanceTasks(LogConfigService config, MembershipView membership, OrderService orders, TcpPeerNetwork network,
-			VmListWatch vmList, Timeline timeline, LongSupplier clock) {
+			VmListCache vmList, Timeline timeline, LongSupplier clock) {
 		this.config = config;
 		this.membership = membership;
 		this.orders = orders;
@@ -64,7 +65,7 @@
 	}
 
 	void start() {
-		this.config.onChange(this::changed);
+		this.config.onChange(this::applyState);
 		schedule(this::run);
 		schedule(this.vmList::refresh);
 	}
@@ -75,13 +76,13 @@
 				task.run();
 			}
 			catch (RuntimeException ex) {
-				// An exception would end the schedule.
-				LOG.error("upkeep failed", ex);
+				// An exception would cancel the schedule.
+				LOG.error("maintenance task failed", ex);
 			}
 		}, 0, INTERVAL_MS, TimeUnit.MILLISECONDS);
 	}
 
-	private void changed(ConfigState state) {
+	private void applyState(ConfigState state) {
 		long nowMs = this.clock.getAsLong();
 		this.membership.setJoined(state.members().values(), nowMs);
 		this.orders.mergeFromLog(LoggedOrders.fromLog(state.orders().values()), nowMs);
@@ -89,28 +90,28 @@
 
 	private void run() {
 		long nowMs = this.clock.getAsLong();
-		boolean silent = this.config.isLogSilent();
-		if (!silent) {
+		boolean nowFailing = this.config.isLogSilent();
+		if (!nowFailing) {
 			this.membership.recordLogContact(nowMs);
 		}
-		if (silent != this.logSilent) {
-			this.logSilent = silent;
+		if (nowFailing != this.logFailing) {
+			this.logFailing = nowFailing;
 			this.timeline.record(EventType.PLATFORM_STATE, "", this.config.state().version(), "part", "log", "failing",
-					silent);
+					nowFailing);
 		}
 		this.config.notePeerVersion(this.membership.highestPeerVersion(nowMs));
 		this.orders.retryAppends(nowMs);
-		if (silent) {
+		if (nowFailing) {
 			fetchConfiguration();
 		}
 		else {
-			evictSilent(nowMs);
+			evictUnresponsive(nowMs);
 		}
 	}
 
 	/**
-	 * Takes over the configuration of a peer while the log does not answer, at start and
-	 * to learn decisions that this entry VM missed.
+	 * Installs the newest configuration of a peer while the log does not answer: at
+	 * start, and to get decisions that this entry VM has not read.
 	 */
 	private void fetchConfiguration() {
 		if (!this.fetching.compareAndSet(false, true)) {
@@ -120,13 +121,13 @@
 			this.fetching.set(false);
 			if (ex == null && !copies.isEmpty() && this.config.installCopy(copies.get(0).state())) {
 				this.timeline.record(EventType.PLATFORM_STATE, "", copies.get(0).version(), "part", "config", "detail",
-						"taken over from a peer");
+						"installed from a peer");
 			}
 		});
 	}
 
-	private void evictSilent(long nowMs) {
-		VmListWatch.Reading reading = this.vmList.last();
+	private void evictUnresponsive(long nowMs) {
+		VmListCache.Reading reading = this.vmList.last();
 		for (String vm : this.membership.evictableMembers(reading.vms().keySet(), reading.readAtMs(), nowMs)) {
 			this.membership.incarnation(vm)
 				.ifPresent((incarnation) -> this.config.evict(vm, incarnation.toString(),
--- a/server/src/main/java/org/fulmargap/server/Membership.java
+++ b/server/src/main/java/org/fulmargap/server/Membership.java
@@ -12,23 +12,25 @@
 import org.fulmargap.peer.TcpPeerNetwork;
 
 /**
- * Joins the other entry VMs and leaves them.
+ * Starts and ends the membership of this entry VM.
  *
  * @param view this entry VM's view of the members
  * @param network the links to peers
- * @param handler answers peers
+ * @param handler handles queries and state updates of peers
  * @param config the configuration
  * @param claims the claims
- * @param maintenance connects these parts
- * @param clock the source of the present time in milliseconds since the epoch
+ * @param maintenance the periodic tasks of these components
+ * @param clock the source of the current time in milliseconds since the epoch
  */
 record Membership(MembershipView view, TcpPeerNetwork network, PeerHandler handler, LogConfigService config,
 		LogClaimService claims, MaintenanceTasks maintenance, LongSupplier clock) implements AutoCloseable {
 
-	/** The longest wait for the log at a shutdown; it may be down. */
+	/**
+	 * Limits each wait for the log during a shutdown, because the log may be down.
+	 */
 	private static final long LOG_WAIT_MS = 3_000;
 
-	private static final long POLL_NANOS = 10_000_000;
+	private static final long POLL_INTERVAL_NANOS = 10_000_000;
 
 	void start() throws IOException {
 		this.network.start(this.handler);
@@ -38,7 +40,7 @@
 	}
 
 	/**
-	 * Tells peers that this entry VM is shutting down.
+	 * Announces to the peers that this entry VM is shutting down.
 	 */
 	void announceLeave() {
 		this.view.markLeaving();
@@ -46,7 +48,8 @@
 	}
 
 	/**
-	 * Writes what still waits for the log, then ends the membership.
+	 * Waits until the queued claim records are in the log, then appends the record that
+	 * ends the membership and waits until it is applied.
 	 */
 	void leave() {
 		await(this.claims::isFlushed);
@@ -57,7 +60,7 @@
 	private void await(BooleanSupplier condition) {
 		long endMs = this.clock.getAsLong() + LOG_WAIT_MS;
 		while (!condition.getAsBoolean() && this.clock.getAsLong() < endMs) {
-			LockSupport.parkNanos(POLL_NANOS);
+			LockSupport.parkNanos(POLL_INTERVAL_NANOS);
 		}
 	}
 
--- a/server/src/main/java/org/fulmargap/server/Operations.java
+++ b/server/src/main/java/org/fulmargap/server/Operations.java
@@ -20,7 +20,7 @@
 import org.fulmargap.peer.OrderService;
 
 /**
- * Carries out what operators order.
+ * Executes the actions of the operator API.
  */
 final class Operations implements OperatorActions {
 
@@ -57,10 +57,10 @@
 
 	@Override
 	public CompletableFuture<JsonNode> order(Target target, String name, boolean out) {
-		AdminOrder.Target addressed = (target == Target.ENDPOINT) ? AdminOrder.Target.endpoint(name)
+		AdminOrder.Target orderTarget = (target == Target.ENDPOINT) ? AdminOrder.Target.endpoint(name)
 				: AdminOrder.Target.failureDomain(name);
 		AdminOrder.State state = out ? AdminOrder.State.OUT : AdminOrder.State.IN;
-		return this.orders.issue(addressed, state, CONFIRM_WAIT_MS, this.clock.getAsLong()).thenApply((result) -> {
+		return this.orders.issue(orderTarget, state, CONFIRM_WAIT_MS, this.clock.getAsLong()).thenApply((result) -> {
 			ObjectNode node = Json.mapper().createObjectNode();
 			node.put("target", name);
 			node.put("state", state.name());
--- a/server/src/main/java/org/fulmargap/server/PlatformModule.java
+++ b/server/src/main/java/org/fulmargap/server/PlatformModule.java
@@ -25,7 +25,8 @@
 import org.fulmargap.timeline.Timeline;
 
 /**
- * Says how the parts are made that talk to the platform and to other entry VMs.
+ * Dependency injection module for the components that communicate with the platform and
+ * with other entry VMs.
  */
 @Module
 final class PlatformModule {
@@ -47,8 +48,8 @@
 
 	@Provides
 	@Singleton
-	static VmListWatch vmList(Settings settings, OkHttpClient client, Timeline timeline, LongSupplier clock) {
-		return new VmListWatch(new HttpVmDirectory(client, settings.platformVmsUrl()), timeline, clock);
+	static VmListCache vmList(Settings settings, OkHttpClient client, Timeline timeline, LongSupplier clock) {
+		return new VmListCache(new HttpVmDirectory(client, settings.platformVmsUrl()), timeline, clock);
 	}
 
 	@Provides
@@ -98,7 +99,7 @@
 	@Provides
 	@Singleton
 	static MaintenanceTasks maintenanceTasks(LogConfigService config, MembershipView membership, OrderService orders,
-			TcpPeerNetwork network, VmListWatch vmList, Timeline timeline, LongSupplier clock) {
+			TcpPeerNetwork network, VmListCache vmList, Timeline timeline, LongSupplier clock) {
 		return new MaintenanceTasks(config, membership, orders, network, vmList, timeline, clock);
 	}
 
--- a/server/src/main/java/org/fulmargap/server/RequestGate.java
+++ b/server/src/main/java/org/fulmargap/server/RequestGate.java
@@ -7,8 +7,8 @@
 import org.fulmargap.routing.CrashQuarantine;
 
 /**
- * Refuses requests during a shutdown, when cut off with the policy to stop, and requests
- * that crash endpoints.
+ * Refuses all requests during a shutdown, and while this entry VM is isolated if the
+ * policy is {@link IsolatedPolicy#STOP}. Refuses quarantined requests at any time.
  */
 final class RequestGate implements ServiceGate {
 
@@ -35,11 +35,11 @@
 		}
 		if (this.isolatedPolicy.refusesRequests() && this.membership.isIsolated(nowMs)) {
 			throw new FulmargapException(FailureType.NOT_RUN, "ISOLATED",
-					"the entry VM is cut off from all other failure domains and the log");
+					"the entry VM cannot reach any other failure domain or the log");
 		}
 		if (!this.quarantine.verdict(fingerprint, nowMs).mayRun()) {
 			throw new FulmargapException(FailureType.REQUEST_QUARANTINED, "REQUEST_QUARANTINED",
-					"this request crashed several endpoints and is refused for a while");
+					"this request crashed several endpoints and is refused until its quarantine expires");
 		}
 	}
 
--- a/server/src/main/java/org/fulmargap/server/RouterFeed.java
+++ b/server/src/main/java/org/fulmargap/server/RouterUpdater.java
@@ -17,11 +17,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the router and the admission up to date with configuration and orders.
+ * Updates the router and the admission periodically with the configuration in force, the
+ * available endpoints and the members.
  */
-final class RouterFeed implements AutoCloseable {
+final class RouterUpdater implements AutoCloseable {
 
-	private static final Logger LOG = LoggerFactory.getLogger(RouterFeed.class);
+	private static final Logger LOG = LoggerFactory.getLogger(RouterUpdater.class);
 
 	private static final long INTERVAL_MS = 50;
 
@@ -49,7 +50,7 @@
 
 	private long version = -1;
 
-	RouterFeed(Settings settings, LogConfigService config, Availability availability, Router router,
+	RouterUpdater(Settings settings, LogConfigService config, Availability availability, Router router,
 			AdmissionPools admission, Timeline timeline, Invariants invariants, LongSupplier clock) {
 		this.settings = settings;
 		this.config = config;
@@ -79,8 +80,9 @@
 			this.admission.refresh();
 		}
 		catch (RuntimeException ex) {
-			// An exception would end the schedule and freeze the view of the router.
-			LOG.error("update of the router failed", ex);
+			// An exception would cancel the schedule, so that the router would not be
+			// updated any more.
+			LOG.error("router update failed", ex);
 		}
 	}
 
--- a/server/src/main/java/org/fulmargap/server/ServerComponent.java
+++ b/server/src/main/java/org/fulmargap/server/ServerComponent.java
@@ -5,7 +5,7 @@
 import jakarta.inject.Singleton;
 
 /**
- * Makes an entry VM from its settings.
+ * Dependency injection component that creates an entry VM from its settings.
  */
 @Singleton
 @Component(modules = { CoreModule.class, PlatformModule.class, ServerModule.class })
@@ -13,18 +13,18 @@
 
 	/**
 	 * Returns the entry VM.
-	 * @return the entry VM, not started yet
+	 * @return the entry VM, not started
 	 */
 	EntryVm entryVm();
 
 	/**
-	 * Makes the component.
+	 * Creates the component.
 	 */
 	@Component.Factory
 	interface Factory {
 
 		/**
-		 * Makes the component.
+		 * Creates the component.
 		 * @param settings the settings of the entry VM
 		 * @return the component
 		 */
--- a/server/src/main/java/org/fulmargap/server/ServerModule.java
+++ b/server/src/main/java/org/fulmargap/server/ServerModule.java
@@ -30,7 +30,7 @@
 import org.fulmargap.timeline.Timeline;
 
 /**
- * Says how the parts are made that serve callers and operators.
+ * Dependency injection module for the components that serve callers, operators and peers.
  */
 @Module
 final class ServerModule {
@@ -60,9 +60,9 @@
 
 	@Provides
 	@Singleton
-	static PipelineExecutor executor(Router router, EndpointClient client, EndpointMonitor watch, Invariants invariants,
-			Timeline timeline, MetricRegistry metrics, LongSupplier clock) {
-		return new PipelineExecutor(router, client, new RetryBudget(), watch, invariants,
+	static PipelineExecutor executor(Router router, EndpointClient client, EndpointMonitor monitor,
+			Invariants invariants, Timeline timeline, MetricRegistry metrics, LongSupplier clock) {
+		return new PipelineExecutor(router, client, new RetryBudget(), monitor, invariants,
 				new StageLog(timeline, metrics), clock);
 	}
 
@@ -75,22 +75,22 @@
 
 	@Provides
 	@Singleton
-	static Availability availability(OrderService orders, EndpointMonitor watch, VmListWatch vmList) {
-		return new Availability(orders, watch, vmList);
+	static Availability availability(OrderService orders, EndpointMonitor monitor, VmListCache vmList) {
+		return new Availability(orders, monitor, vmList);
 	}
 
 	@Provides
 	@Singleton
-	static RouterFeed routerFeed(Settings settings, LogConfigService config, Availability availability, Router router,
-			AdmissionPools admission, Timeline timeline, Invariants invariants, LongSupplier clock) {
-		return new RouterFeed(settings, config, availability, router, admission, timeline, invariants, clock);
+	static RouterUpdater routerUpdater(Settings settings, LogConfigService config, Availability availability,
+			Router router, AdmissionPools admission, Timeline timeline, Invariants invariants, LongSupplier clock) {
+		return new RouterUpdater(settings, config, availability, router, admission, timeline, invariants, clock);
 	}
 
 	@Provides
 	@Singleton
-	static LoadPoller loadPoller(LogConfigService config, Router router, EndpointMonitor watch, EndpointClient client,
+	static LoadPoller loadPoller(LogConfigService config, Router router, EndpointMonitor monitor, EndpointClient client,
 			LongSupplier clock) {
-		return new LoadPoller(() -> config.current().configuration().endpoints(), router, watch, client, clock);
+		return new LoadPoller(() -> config.current().configuration().endpoints(), router, monitor, client, clock);
 	}
 
 	@Provides
@@ -121,9 +121,9 @@
 
 	@Provides
 	@Singleton
-	static PeerHandler peerAnswers(Lifecycle lifecycle, LogConfigService config, LogClaimService claims,
+	static PeerHandler peerHandler(Lifecycle lifecycle, LogConfigService config, LogClaimService claims,
 			OrderService orders, Router router, CrashQuarantine quarantine, CallerApi callerApi, LongSupplier clock) {
-		return new PeerAnswers(lifecycle, config, claims, orders, router, quarantine, callerApi::inFlight, clock);
+		return new LocalPeerHandler(lifecycle, config, claims, orders, router, quarantine, callerApi::inFlight, clock);
 	}
 
 	@Provides
@@ -136,9 +136,9 @@
 	@Provides
 	@Singleton
 	static EntryVm entryVm(Settings settings, Incarnation incarnation, Lifecycle lifecycle, Threads threads,
-			Membership membership, EndpointClient client, RouterFeed routerFeed, LoadPoller loadPoller,
+			Membership membership, EndpointClient client, RouterUpdater routerUpdater, LoadPoller loadPoller,
 			CallerApi callerApi, OperatorApi operatorApi, Timeline timeline, LongSupplier clock) {
-		return new EntryVm(settings, incarnation, lifecycle, threads, membership, client, routerFeed, loadPoller,
+		return new EntryVm(settings, incarnation, lifecycle, threads, membership, client, routerUpdater, loadPoller,
 				callerApi, operatorApi, timeline, clock);
 	}
 
--- a/server/src/main/java/org/fulmargap/server/Settings.java
+++ b/server/src/main/java/org/fulmargap/server/Settings.java
@@ -8,25 +8,30 @@
  * Settings of an entry VM.
  *
  * @param vm the name of the entry VM
- * @param failureDomain the failure domain that it runs in
- * @param callerAddress the address for callers
- * @param adminAddress the address for operators
- * @param peerAddress the address for other entry VMs
+ * @param failureDomain the failure domain of the entry VM
+ * @param callerAddress the address of the API for callers
+ * @param adminAddress the address of the API for operators
+ * @param peerAddress the address at which links of other entry VMs are accepted
  * @param peers the peer addresses of other entry VMs
  * @param platformLogUrl the base URL of the platform's log service
  * @param platformVmsUrl the base URL of the platform's VM list
  * @param drainNoticeMs how long new requests are still accepted after a shutdown has
- * begun
- * @param drainLimitMs the longest wait for running requests during a shutdown
- * @param keyLifetimeMs how long claims are kept
- * @param isolatedPolicy what to do when cut off
- * @param maxBodyBytes the longest request body
- * @param maxInFlight the highest number of requests that run at the same time
- * @param patchTimeoutMs how long a patch waits for acknowledgements
- * @param evictAfterMs how long a member must be silent before it is evicted
- * @param snapshotEveryMs the longest time between two snapshots
- * @param initialConcurrency the allowance of an endpoint that has just started
- * @param doublingMs the time of successful work in which the allowance doubles
+ * begun, in milliseconds
+ * @param drainLimitMs the longest wait for running requests after that, in milliseconds
+ * @param keyLifetimeMs the lifetime of idempotency keys and their claims in milliseconds
+ * @param isolatedPolicy the behaviour while neither another failure domain nor the log is
+ * reachable
+ * @param maxBodyBytes the size limit of a request body in bytes
+ * @param maxInFlight the largest number of requests that run at the same time
+ * @param patchTimeoutMs how long a patch waits for acknowledgements, in milliseconds
+ * @param evictAfterMs how long a member must be unresponsive before it is evicted, in
+ * milliseconds
+ * @param snapshotEveryMs the age in milliseconds above which a snapshot of the
+ * configuration is replaced if records follow it
+ * @param initialConcurrency the concurrency limit of an endpoint that has just started,
+ * summed over all entry VMs
+ * @param doublingMs the time of work in milliseconds in which the concurrency limit
+ * doubles
  */
 record Settings(@JsonProperty("vm") String vm, @JsonProperty("failure_domain") String failureDomain,
 		@JsonProperty("caller_address") Address callerAddress, @JsonProperty("admin_address") Address adminAddress,
@@ -85,18 +90,18 @@
 		}
 	}
 
-	private static long bounded(String field, Long value, long otherwise, long least) {
+	private static long bounded(String field, Long value, long defaultValue, long minimum) {
 		if (value == null) {
-			return otherwise;
+			return defaultValue;
 		}
-		if (value < least) {
-			throw new InvalidFieldException(field, "must be at least " + least + ", but is " + value);
+		if (value < minimum) {
+			throw new InvalidFieldException(field, "must be at least " + minimum + ", but is " + value);
 		}
 		return value;
 	}
 
 	/**
-	 * Reports a field with a value that is not allowed.
+	 * Thrown for a field with a value that is not allowed.
 	 */
 	static final class InvalidFieldException extends IllegalArgumentException {
 
--- a/server/src/main/java/org/fulmargap/server/SettingsFile.java
+++ b/server/src/main/java/org/fulmargap/server/SettingsFile.java
@@ -21,7 +21,8 @@
 final class SettingsFile {
 
 	/**
-	 * Texts and fractions are not taken for numbers, so that units cannot be mixed up.
+	 * Strings and fractions are not converted to integers, so that a value such as "10s"
+	 * or 0.5 is rejected instead of being read in the wrong unit.
 	 */
 	private static final ObjectReader READER = JsonMapper.builder()
 		.disable(MapperFeature.ALLOW_COERCION_OF_SCALARS)
@@ -35,10 +36,10 @@
 	}
 
 	/**
-	 * Reads a file.
+	 * Reads settings from a file.
 	 * @param file the file
 	 * @return the settings
-	 * @throws SettingsException if the file cannot be read or a field is wrong
+	 * @throws SettingsException if the file cannot be read or a field is invalid
 	 */
 	static Settings read(Path file) throws SettingsException {
 		String json;
@@ -55,7 +56,7 @@
 	 * Parses settings.
 	 * @param json the JSON text
 	 * @return the settings
-	 * @throws SettingsException if a field is wrong
+	 * @throws SettingsException if the text is not valid JSON or a field is invalid
 	 */
 	static Settings parse(String json) throws SettingsException {
 		try {
@@ -95,13 +96,13 @@
 					+ List.of(format.getTargetType().getEnumConstants()) + ", but is '" + format.getValue() + "'";
 		}
 		if (ex instanceof MismatchedInputException mismatch && mismatch.getTargetType() != null) {
-			return "settings: field '" + field + "' must be " + name(field, mismatch.getTargetType());
+			return "settings: field '" + field + "' must be " + expectedType(field, mismatch.getTargetType());
 		}
 		Throwable cause = (ex.getCause() != null) ? ex.getCause() : ex;
 		return "settings: field '" + field + "' " + cause.getMessage().lines().findFirst().orElse("is not valid");
 	}
 
-	private static String name(String field, Class<?> type) {
+	private static String expectedType(String field, Class<?> type) {
 		if (type == Long.class || type == Integer.class) {
 			return field.endsWith("_ms") ? "a whole number of milliseconds" : "a whole number";
 		}
--- a/server/src/main/java/org/fulmargap/server/Threads.java
+++ b/server/src/main/java/org/fulmargap/server/Threads.java
@@ -9,18 +9,18 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The thread pools of the entry VM.
+ * Thread pools of the entry VM.
  *
- * @param workers run admitted requests, one thread for each
- * @param callbacks go on with requests after a claim or a refusal
- * @param timers run short tasks after a delay
+ * @param workers runs admitted requests, one per thread
+ * @param callbacks continues requests after a claim decision or a refusal
+ * @param timers runs short tasks after a delay
  */
 record Threads(ExecutorService workers, ExecutorService callbacks, ScheduledExecutorService timers) {
 
-	private static final int CALLBACKS = 4;
+	private static final int CALLBACK_THREADS = 4;
 
 	static Threads create(int maxInFlight) {
-		return new Threads(pool("worker", maxInFlight), pool("callback", CALLBACKS),
+		return new Threads(pool("worker", maxInFlight), pool("callback", CALLBACK_THREADS),
 				Executors.newSingleThreadScheduledExecutor((task) -> {
 					Thread thread = new Thread(task, "timer");
 					thread.setDaemon(true);
--- a/server/src/main/java/org/fulmargap/server/VmListWatch.java
+++ b/server/src/main/java/org/fulmargap/server/VmListCache.java
@@ -11,9 +11,9 @@
 import org.fulmargap.timeline.Timeline;
 
 /**
- * Keeps the last answer of the platform's VM list.
+ * Caches the latest VM list of the platform.
  */
-final class VmListWatch {
+final class VmListCache {
 
 	private final VmDirectory directory;
 
@@ -25,27 +25,28 @@
 
 	private boolean failing;
 
-	VmListWatch(VmDirectory directory, Timeline timeline, LongSupplier clock) {
+	VmListCache(VmDirectory directory, Timeline timeline, LongSupplier clock) {
 		this.directory = directory;
 		this.timeline = timeline;
 		this.clock = clock;
 	}
 
 	/**
-	 * Reads the list. Waits for the answer.
+	 * Reads the list from the platform and blocks until it responds. The previous list is
+	 * kept if the read fails.
 	 */
 	void refresh() {
 		long nowMs = this.clock.getAsLong();
 		try {
 			this.last = new Reading(this.directory.read(), nowMs);
-			noteState(false, "answers");
+			recordState(false, "VM list was read");
 		}
 		catch (IOException ex) {
-			noteState(true, String.valueOf(ex.getMessage()));
+			recordState(true, String.valueOf(ex.getMessage()));
 		}
 	}
 
-	private void noteState(boolean nowFailing, String detail) {
+	private void recordState(boolean nowFailing, String detail) {
 		if (nowFailing != this.failing) {
 			this.failing = nowFailing;
 			this.timeline.record(EventType.PLATFORM_STATE, "", 0, "part", "vm_list", "failing", nowFailing, "detail",
@@ -58,10 +59,11 @@
 	}
 
 	/**
-	 * One answer.
+	 * VM list with the time of its request.
 	 *
-	 * @param vms the state of each VM
-	 * @param readAtMs when the list was asked for, zero if it never answered
+	 * @param vms the state of each VM by name
+	 * @param readAtMs when the list was requested, milliseconds since the epoch, zero
+	 * before the first successful read
 	 */
 	record Reading(Map<String, VmDirectory.VmState> vms, long readAtMs) {
 
--- a/server/src/main/java/org/fulmargap/server/package-info.java
+++ b/server/src/main/java/org/fulmargap/server/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Settings, start and shutdown of an entry VM.
+ * Settings, dependency injection modules, startup and shutdown of an entry VM.
  */
 package org.fulmargap.server;
--- a/server/src/test/java/org/fulmargap/server/AdmissionPoolsTests.java
+++ b/server/src/test/java/org/fulmargap/server/AdmissionPoolsTests.java
@@ -24,7 +24,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against expected times that are too high and refuse every request for ever.
+ * Guards against expected durations that are too long, so that all requests are refused
+ * and no result corrects the expectation.
  */
 class AdmissionPoolsTests {
 
@@ -67,7 +68,7 @@
 	class Trials {
 
 		@Test
-		void oneRequestAtATimeIsTriedAlthoughItIsExpectedToBeLate() {
+		void oneRequestAtATimeIsAdmittedAlthoughItIsExpectedToBeLate() {
 			admit(5000);
 			admit(5000);
 			assertThat(AdmissionPoolsTests.this.admitted).hasSize(1);
@@ -79,7 +80,7 @@
 		}
 
 		@Test
-		void requestsThatAreExpectedInTimeNeedNoTrial() {
+		void requestsExpectedToMeetTheirDeadlineAreNotLimited() {
 			admit(10);
 			admit(10);
 			assertThat(AdmissionPoolsTests.this.admitted).hasSize(2);
--- a/server/src/test/java/org/fulmargap/server/EntryVmTests.java
+++ b/server/src/test/java/org/fulmargap/server/EntryVmTests.java
@@ -33,8 +33,8 @@
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
 /**
- * Guards against an entry VM that is ready too early, stops too early or hides why it
- * cannot start.
+ * Guards against an entry VM that reports readiness too early, stops before running
+ * requests have ended, or does not report why it cannot start.
  */
 class EntryVmTests {
 
@@ -114,7 +114,7 @@
 		assertThat(response.statusCode()).as(response.body()).isEqualTo(200);
 	}
 
-	private CompletableFuture<HttpResponse<String>> look() {
+	private CompletableFuture<HttpResponse<String>> sendRequest() {
 		HttpRequest request = HttpRequest
 			.newBuilder(URI.create("http://127.0.0.1:" + this.vm.callerPort() + "/v1/pipelines/look/requests"))
 			.header("Authorization", "Bearer secret")
@@ -127,7 +127,7 @@
 	class Start {
 
 		@Test
-		void portInUseIsReportedWithItsField() throws Exception {
+		void portInUseIsReportedWithTheNameOfTheField() throws Exception {
 			EntryVm second = create(settings(EntryVmTests.this.vm.callerPort(), 0));
 			SettingsException ex = catchThrowableOfType(SettingsException.class, second::start);
 			assertThat(ex.getMessage()).startsWith("settings: field 'caller_address': 127.0.0.1:");
@@ -162,7 +162,7 @@
 		}
 
 		@Test
-		void wrongInputIsRefusedWithAType() {
+		void invalidInputIsRejectedWithAnErrorType() {
 			assertThat(admin("PUT", "/v1/endpoints/e1/state", "{\"state\":\"AWAY\"}").statusCode()).isEqualTo(400);
 			assertThat(admin("POST", "/v1/config/patches", "{").body()).contains("MALFORMED_REQUEST");
 			assertThat(admin("GET", "/v1/timeline?config_version=x", "").body()).contains("VERSION_INVALID");
@@ -175,15 +175,15 @@
 	class Shutdown {
 
 		@Test
-		void runningRequestIsAnsweredAndNewOnesAreAcceptedDuringTheNotice() throws Exception {
+		void runningRequestCompletesAndNewOnesAreAcceptedDuringTheNoticeTime() throws Exception {
 			configure();
-			CompletableFuture<HttpResponse<String>> running = look();
+			CompletableFuture<HttpResponse<String>> running = sendRequest();
 			Waiting.until(() -> !EntryVmTests.this.endpoint.stages().isEmpty());
 			CompletableFuture<Void> drained = CompletableFuture.runAsync(EntryVmTests.this.vm::drain);
 			Waiting.until(() -> readyStatus() == 503);
-			CompletableFuture<HttpResponse<String>> duringNotice = look();
+			CompletableFuture<HttpResponse<String>> duringNotice = sendRequest();
 			Waiting.pass(400);
-			HttpResponse<String> afterNotice = look().join();
+			HttpResponse<String> afterNotice = sendRequest().join();
 			assertThat(afterNotice.statusCode()).isEqualTo(503);
 			assertThat(afterNotice.body()).contains("\"NOT_RUN\"", "DRAINING");
 			assertThat(drained).isNotDone();
@@ -197,7 +197,7 @@
 	}
 
 	/**
-	 * Log and VM list in memory over HTTP.
+	 * In-memory log and VM list, served over HTTP.
 	 */
 	private static final class FakePlatform implements AutoCloseable {
 
@@ -211,7 +211,7 @@
 			this.server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50);
 			this.server.createContext("/v1/log/", this::log);
 			this.server.createContext("/v1/vms",
-					(exchange) -> answer(exchange, Json.mapper().readTree("{\"observed_at_ms\":0,\"vms\":[]}")));
+					(exchange) -> respond(exchange, Json.mapper().readTree("{\"observed_at_ms\":0,\"vms\":[]}")));
 			this.server.start();
 		}
 
@@ -229,7 +229,7 @@
 			if (exchange.getRequestMethod().equals("POST")) {
 				ObjectNode entry = records.addObject().put("offset", records.size() - 1).put("appended_at_ms", 0);
 				entry.set("value", Json.mapper().readTree(exchange.getRequestBody()));
-				answer(exchange, Json.mapper().createObjectNode().put("offset", records.size() - 1));
+				respond(exchange, Json.mapper().createObjectNode().put("offset", records.size() - 1));
 				return;
 			}
 			int from = Integer.parseInt(exchange.getRequestURI().getQuery().replaceAll(".*from=(\\d+).*", "$1"));
@@ -241,10 +241,10 @@
 			for (int i = from; i < records.size(); i++) {
 				part.add(records.get(i));
 			}
-			answer(exchange, page);
+			respond(exchange, page);
 		}
 
-		private void answer(HttpExchange exchange, JsonNode node) throws IOException {
+		private void respond(HttpExchange exchange, JsonNode node) throws IOException {
 			byte[] bytes = node.toString().getBytes(StandardCharsets.UTF_8);
 			exchange.sendResponseHeaders(this.down ? 500 : 200, bytes.length);
 			exchange.getResponseBody().write(bytes);
--- a/server/src/test/java/org/fulmargap/server/KnownMembersTests.java
+++ b/server/src/test/java/org/fulmargap/server/KnownMembersTests.java
@@ -14,14 +14,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against a refusal as not run by a VM that cannot read the log and does not ask a
- * peer that joined meanwhile.
+ * Guards against a VM that cannot read the log and reports a request as not run without
+ * querying a peer that joined in the meantime.
  */
 class KnownMembersTests {
 
 	private static final long NOW_MS = 1_000_000;
 
-	private final MembershipView heard = new MembershipView(hello("a"), MembershipLimits.DEFAULTS, NOW_MS);
+	private final MembershipView view = new MembershipView(hello("a"), MembershipLimits.DEFAULTS, NOW_MS);
 
 	private static Hello hello(String vm) {
 		return new Hello(vm, new Incarnation(vm, NOW_MS), "d1", Hello.PROTOCOL_VERSION, "127.0.0.1:1");
@@ -40,21 +40,21 @@
 				return Long.MIN_VALUE;
 			}
 
-		}, this.heard, () -> NOW_MS).vms();
+		}, this.view, () -> NOW_MS).vms();
 	}
 
 	@Nested
 	class Names {
 
 		@Test
-		void includeAPeerThatTheStreamDoesNotListYet() {
-			KnownMembersTests.this.heard.receiveHello(hello("c"), NOW_MS);
+		void includeAPeerThatTheStreamDoesNotList() {
+			KnownMembersTests.this.view.receiveHello(hello("c"), NOW_MS);
 			assertThat(vms(List.of("a", "b"))).contains("a", "b", "c");
 		}
 
 		@Test
-		void areEmptyWhileTheMembersAreNotKnown() {
-			KnownMembersTests.this.heard.receiveHello(hello("c"), NOW_MS);
+		void areEmptyWhileTheMembersAreUnknown() {
+			KnownMembersTests.this.view.receiveHello(hello("c"), NOW_MS);
 			assertThat(vms(List.of())).isEmpty();
 		}
 
--- a/server/src/test/java/org/fulmargap/server/SettingsFileTests.java
+++ b/server/src/test/java/org/fulmargap/server/SettingsFileTests.java
@@ -8,7 +8,7 @@
 
 /**
  * Guards against a server that starts with settings other than those intended, or that
- * does not say which field is wrong.
+ * does not report which field is invalid.
  */
 class SettingsFileTests {
 
@@ -42,67 +42,67 @@
 	class Invalid {
 
 		@Test
-		void unknownFieldIsNamed() {
+		void unknownFieldIsReported() {
 			assertThat(message(VALID.replace("drain_notice_ms", "drain_notice")))
 				.isEqualTo("settings: field 'drain_notice' is unknown");
 		}
 
 		@Test
-		void textWithUnitIsRefused() {
+		void stringWithUnitIsRejected() {
 			assertThat(message(VALID.replace(":10}", ":\"10s\"}")))
 				.isEqualTo("settings: field 'drain_notice_ms' must be a whole number of milliseconds");
 		}
 
 		@Test
-		void numberAsTextIsRefused() {
+		void numberAsStringIsRejected() {
 			assertThat(message(VALID.replace(":10}", ":\"10\"}")))
 				.isEqualTo("settings: field 'drain_notice_ms' must be a whole number of milliseconds");
 		}
 
 		@Test
-		void fractionIsRefused() {
+		void fractionIsRejected() {
 			assertThat(message(VALID.replace(":10}", ":0.5}"))).contains("'drain_notice_ms'");
 		}
 
 		@Test
-		void negativeTimeIsRefused() {
+		void negativeTimeIsRejected() {
 			assertThat(message(VALID.replace(":10}", ":-1}")))
 				.isEqualTo("settings: field 'drain_notice_ms' must be at least 0, but is -1");
 		}
 
 		@Test
-		void missingAddressIsNamed() {
+		void missingAddressIsReported() {
 			assertThat(message(VALID.replace("\"admin_address\":\"127.0.0.1:2\",", "")))
 				.isEqualTo("settings: field 'admin_address' is missing");
 		}
 
 		@Test
-		void hostNameIsRefusedAsAddress() {
+		void hostNameIsRejectedAsAddress() {
 			assertThat(message(VALID.replace("127.0.0.1:2", "localhost:2"))).contains("'admin_address'")
 				.contains("IP:port")
 				.contains("localhost:2");
 		}
 
 		@Test
-		void wrongPeerIsNamedWithItsPlace() {
+		void invalidPeerIsReportedWithItsIndex() {
 			assertThat(message(VALID.replace("[\"127.0.0.1:4\"]", "[\"127.0.0.1:4\",\"x\"]"))).contains("'peers[1]'");
 		}
 
 		@Test
-		void wrongTypeIsNamed() {
+		void wrongTypeIsReported() {
 			assertThat(message(VALID.replace("[\"127.0.0.1:4\"]", "\"127.0.0.1:4\"")))
 				.isEqualTo("settings: field 'peers' must be a list");
 		}
 
 		@Test
-		void unknownPolicyIsRefusedWithThePoliciesAllowed() {
+		void unknownPolicyIsRejectedWithTheAllowedValues() {
 			assertThat(message(VALID.replace(":10}", ":10,\"isolated_policy\":\"HALT\"}")))
 				.contains("'isolated_policy'")
 				.contains("SERVE_OWN_DOMAIN");
 		}
 
 		@Test
-		void brokenJsonIsRefusedWithItsPlace() {
+		void malformedJsonIsReportedWithItsLocation() {
 			assertThat(message(VALID.substring(0, VALID.length() - 1))).startsWith("settings: not valid JSON at line ");
 		}
 
--- a/server/src/test/java/org/fulmargap/server/package-info.java
+++ b/server/src/test/java/org/fulmargap/server/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of settings, start and shutdown.
+ * Tests of settings, startup and shutdown.
  */
 package org.fulmargap.server;
