--- a/server/src/main/java/org/fulmargap/server/CoreModule.java
+++ b/server/src/main/java/org/fulmargap/server/CoreModule.java
@@ -55,7 +55,7 @@
 
 	@Provides
 	@Singleton
-	static MembershipView membership(Settings settings, Incarnation incarnation, LongSupplier clock) {
+	static MembershipView membershipView(Settings settings, Incarnation incarnation, LongSupplier clock) {
 		Hello self = new Hello(settings.vm(), incarnation, settings.failureDomain(), Hello.PROTOCOL_VERSION,
 				settings.peerAddress().toString());
 		return new MembershipView(self, MembershipLimits.DEFAULTS.withEvictAfterMs(settings.evictAfterMs()),
--- a/server/src/main/java/org/fulmargap/server/RequestGate.java
+++ b/server/src/main/java/org/fulmargap/server/RequestGate.java
@@ -7,8 +7,9 @@
 import org.fulmargap.routing.CrashQuarantine;
 
 /**
- * Refuses all requests during a shutdown, and while this entry VM is isolated if the
- * policy is {@link IsolatedPolicy#STOP}. Refuses quarantined requests at any time.
+ * Refuses all requests when the notice time of a shutdown has passed, and while this
+ * entry VM is isolated if the policy is {@link IsolatedPolicy#STOP}. Refuses quarantined
+ * requests at any time.
  */
 final class RequestGate implements ServiceGate {
 
--- a/server/src/main/java/org/fulmargap/server/ServerModule.java
+++ b/server/src/main/java/org/fulmargap/server/ServerModule.java
@@ -128,7 +128,7 @@
 
 	@Provides
 	@Singleton
-	static Membership membershipParts(MembershipView view, TcpPeerNetwork network, PeerHandler handler,
+	static Membership membership(MembershipView view, TcpPeerNetwork network, PeerHandler handler,
 			LogConfigService config, LogClaimService claims, MaintenanceTasks maintenance, LongSupplier clock) {
 		return new Membership(view, network, handler, config, claims, maintenance, clock);
 	}
--- a/server/src/main/java/org/fulmargap/server/SettingsFile.java
+++ b/server/src/main/java/org/fulmargap/server/SettingsFile.java
@@ -21,8 +21,8 @@
 final class SettingsFile {
 
 	/**
-	 * Strings and fractions are not converted to integers, so that a value such as "10s"
-	 * or 0.5 is rejected instead of being read in the wrong unit.
+	 * Strings and fractions are not converted to integers, so that a value in another
+	 * unit, such as 0.5 for half a second, is rejected.
 	 */
 	private static final ObjectReader READER = JsonMapper.builder()
 		.disable(MapperFeature.ALLOW_COERCION_OF_SCALARS)
