--- a/server/src/main/java/org/fulmargap/server/Settings.java
+++ b/server/src/main/java/org/fulmargap/server/Settings.java
@@ -30,7 +30,7 @@
  * configuration is replaced if records follow it
  * @param initialConcurrency the concurrency limit of an endpoint that has just started,
  * summed over all entry VMs
- * @param doublingMs the time in milliseconds, counted while the endpoint completes
+ * @param doublingMs the time in milliseconds, counted while the endpoint processes
  * requests, in which the concurrency limit doubles
  */
 record Settings(@JsonProperty("vm") String vm, @JsonProperty("failure_domain") String failureDomain,
