--- a/server/src/main/java/org/fulmargap/pipeline/EndpointMonitor.java
+++ b/server/src/main/java/org/fulmargap/pipeline/EndpointMonitor.java
@@ -23,7 +23,7 @@
 
 	private final CrashQuarantine quarantine;
 
-	private final Consumer<Map<String, List<String>>> publishCrashReports;
+	private final Consumer<Map<String, List<String>>> broadcastCrashReports;
 
 	private final Timeline timeline;
 
@@ -36,14 +36,14 @@
 	/**
 	 * Creates a monitor.
 	 * @param quarantine stores the crash reports
-	 * @param publishCrashReports sends new crash reports to all peers
+	 * @param broadcastCrashReports sends new crash reports to all peers
 	 * @param timeline records new crash reports and leaving endpoints
 	 * @param clock the source of the current time in milliseconds since the epoch
 	 */
-	public EndpointMonitor(CrashQuarantine quarantine, Consumer<Map<String, List<String>>> publishCrashReports,
+	public EndpointMonitor(CrashQuarantine quarantine, Consumer<Map<String, List<String>>> broadcastCrashReports,
 			Timeline timeline, LongSupplier clock) {
 		this.quarantine = quarantine;
-		this.publishCrashReports = publishCrashReports;
+		this.broadcastCrashReports = broadcastCrashReports;
 		this.timeline = timeline;
 		this.clock = clock;
 	}
@@ -85,7 +85,7 @@
 		if (!crashReports.isEmpty()) {
 			this.timeline.record(EventType.CRASH_STRIKE, "", 0, "endpoint", endpoint, "fingerprints",
 					crashReports.keySet());
-			this.publishCrashReports.accept(crashReports);
+			this.broadcastCrashReports.accept(crashReports);
 		}
 	}
 
