--- a/standin/src/main/java/org/fulmargap/standin/Capacity.java
+++ b/standin/src/main/java/org/fulmargap/standin/Capacity.java
@@ -1,8 +1,9 @@
 package org.fulmargap.standin;
 
 /**
- * Capacity of an endpoint, which starts small and doubles with work. Not safe for
- * concurrent use.
+ * Number of requests that an endpoint may run at the same time. It starts at an initial
+ * value and doubles each time the endpoint has been busy for a given time. Not
+ * thread-safe.
  */
 final class Capacity {
 
@@ -14,7 +15,7 @@
 
 	private int current;
 
-	private long workedMs;
+	private long busyMs;
 
 	private long busySinceMs = -1;
 
@@ -35,7 +36,7 @@
 
 	void becomeCold() {
 		this.current = this.initial;
-		this.workedMs = 0;
+		this.busyMs = 0;
 		this.busySinceMs = -1;
 	}
 
@@ -46,18 +47,18 @@
 	}
 
 	/**
-	 * Counts the time worked and doubles the capacity when it suffices.
-	 * @param nowMs the present time in milliseconds
+	 * Adds to the busy time and doubles the capacity when the busy time suffices.
+	 * @param nowMs the current time in milliseconds
 	 * @param running the number of requests that are still running
 	 */
 	void finished(long nowMs, int running) {
 		if (this.busySinceMs >= 0) {
-			this.workedMs += nowMs - this.busySinceMs;
+			this.busyMs += nowMs - this.busySinceMs;
 			this.busySinceMs = (running > 0) ? nowMs : -1;
 		}
-		if (!isWarm() && this.workedMs >= this.doublingMs) {
+		if (!isWarm() && this.busyMs >= this.doublingMs) {
 			this.current = Math.min(this.max, this.current * 2);
-			this.workedMs = 0;
+			this.busyMs = 0;
 		}
 	}
 
--- a/standin/src/main/java/org/fulmargap/standin/Cluster.java
+++ b/standin/src/main/java/org/fulmargap/standin/Cluster.java
@@ -61,7 +61,7 @@
 		for (String domain : options.failureDomains()) {
 			for (String service : options.services()) {
 				String name = service + "-" + domain;
-				this.endpoints.put(name, new EndpointStandIn(options.endpoint().at(name, ports.next())));
+				this.endpoints.put(name, new EndpointStandIn(options.endpoint().withAddress(name, ports.next())));
 			}
 		}
 		for (String domain : options.failureDomains()) {
--- a/standin/src/main/java/org/fulmargap/standin/EndpointFaults.java
+++ b/standin/src/main/java/org/fulmargap/standin/EndpointFaults.java
@@ -3,33 +3,34 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * Faults of an endpoint stand-in. Absent fields keep their value.
+ * Injected faults of an endpoint stand-in. Fields that a change does not contain keep
+ * their value.
  *
- * @param match the faults of requests apply only to inputs that contain this text; empty
- * for all
- * @param limit the number of further requests that the faults of requests apply to, -1
- * for all
- * @param delayMs the additional time that a request takes, in milliseconds
- * @param slowFactor the factor by which requests take longer
- * @param hold whether started requests are kept running until this is switched off
- * @param failStatus the HTTP status that requests get without being run, zero for none
- * @param notRun whether requests are refused with the header that states that they did
- * not run
- * @param closeBefore whether the connection is closed before the request is run
- * @param closeAfter whether the connection is closed after the request was run
- * @param crossAnswer whether the request gets the answer of another attempt, with the id
- * of that attempt
- * @param duplicateAnswer whether the answer, or each token, is sent twice
- * @param truncateAnswer how the answer is cut short
+ * @param match the request faults apply only to inputs that contain this text; empty for
+ * all
+ * @param limit the number of further requests that the request faults apply to, -1 for
+ * all
+ * @param delayMs the additional duration of a request in milliseconds
+ * @param slowFactor the factor by which the duration of requests is multiplied
+ * @param hold whether started requests do not complete until this is switched off
+ * @param failStatus the HTTP error status of requests, which are not run; zero for none
+ * @param notRun whether requests are refused with the header {@code Fulmargap-Not-Run}
+ * @param closeBefore whether the connection is closed and the request is not run
+ * @param closeAfter whether the connection is closed after the request has run
+ * @param crossAnswer whether the request gets the response to another attempt, with the
+ * id of that attempt
+ * @param duplicateAnswer whether the response, or each token of a stream, is sent twice
+ * @param truncateAnswer how the response is truncated
  * @param crashMarker a request whose input contains this text crashes the endpoint; empty
  * for none
- * @param crashExit whether a crash ends the process; otherwise all connections break and
- * the endpoint returns as a new incarnation
+ * @param crashExit whether a crash ends the process; otherwise all connections are closed
+ * and the endpoint restarts as a new incarnation
  * @param crashDownMs the time for which a crashed endpoint refuses connections, in
  * milliseconds
- * @param leaving whether the endpoint says that it is leaving
- * @param silenceOpenConnections lets the connections that are open now go silent, once
- * @param becomeCold makes the endpoint cold, once, without a new incarnation
+ * @param leaving whether responses have the header {@code Fulmargap-Leaving}
+ * @param silenceOpenConnections stops responding on the connections that are open now,
+ * once
+ * @param becomeCold makes the endpoint cold without a new incarnation, once
  * @param crash crashes the endpoint, once
  */
 record EndpointFaults(@JsonProperty("match") String match, @JsonProperty("limit") int limit,
@@ -52,7 +53,8 @@
 		crashMarker = (crashMarker != null) ? crashMarker : "";
 		truncateAnswer = (truncateAnswer != null) ? truncateAnswer : Truncation.NONE;
 		if (limit < -1 || delayMs < 0 || !(slowFactor > 0) || crashDownMs < 0) {
-			throw new IllegalArgumentException("limit, times and factors must not be negative");
+			throw new IllegalArgumentException(
+					"limit and times must not be negative, and slow_factor must be positive");
 		}
 		if (failStatus != 0 && (failStatus < 400 || failStatus > 599)) {
 			throw new IllegalArgumentException("fail_status must be from 400 to 599: " + failStatus);
@@ -68,7 +70,8 @@
 	}
 
 	/**
-	 * Returns the faults after one request was subject to them.
+	 * Returns the faults that apply after a request: {@code limit} is reduced by one if
+	 * they applied to the request.
 	 * @param input the input of the request
 	 * @return a copy with a lower limit, or the same faults
 	 */
@@ -89,17 +92,17 @@
 	}
 
 	/**
-	 * Ways to cut an answer short.
+	 * Ways to truncate a response.
 	 */
 	enum Truncation {
 
-		/** The answer is whole. */
+		/** The response is complete. */
 		NONE,
 
-		/** The connection is closed in the middle of the answer. */
+		/** The connection is closed in the middle of the response. */
 		CLOSE,
 
-		/** The answer ends regularly, but too early. */
+		/** The response ends in the middle, without a transport error. */
 		END;
 
 		boolean closesConnection() {
--- a/standin/src/main/java/org/fulmargap/standin/EndpointStandIn.java
+++ b/standin/src/main/java/org/fulmargap/standin/EndpointStandIn.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Stand-in of an endpoint: a model engine, an encoder, a retriever, a reranker or a plain
- * service.
+ * Stand-in of an endpoint with fault injection: a model engine, an encoder, a retriever,
+ * a reranker or a plain service.
  */
 public final class EndpointStandIn implements AutoCloseable {
 
@@ -47,11 +47,11 @@
 
 	private volatile StageScheduler.Load previousLoad;
 
-	private volatile StageScheduler.Load presentLoad;
+	private volatile StageScheduler.Load currentLoad;
 
 	/**
 	 * Creates the stand-in without starting it.
-	 * @param options name, port, limits and times
+	 * @param options the name, port, limits and durations
 	 */
 	public EndpointStandIn(EndpointOptions options) {
 		this.options = options;
@@ -62,33 +62,33 @@
 		});
 		this.scheduler = new StageScheduler(options, this.timer, this.faults::current, this.executions);
 		this.server = new HttpServer(options.name(), List.of(options.port()), this::handle);
-		this.presentLoad = this.scheduler.load(this.incarnation);
-		this.previousLoad = this.presentLoad;
+		this.currentLoad = this.scheduler.load(this.incarnation);
+		this.previousLoad = this.currentLoad;
 	}
 
 	/**
-	 * Starts to serve.
+	 * Starts to accept requests.
 	 * @throws IOException if the port cannot be opened
 	 */
 	public void start() throws IOException {
 		this.server.start();
 		if (this.options.loadLagMs() > 0) {
-			this.timer.scheduleAtFixedRate(this::readLoad, this.options.loadLagMs(), this.options.loadLagMs(),
+			this.timer.scheduleAtFixedRate(this::sampleLoad, this.options.loadLagMs(), this.options.loadLagMs(),
 					TimeUnit.MILLISECONDS);
 		}
 	}
 
 	/**
-	 * Returns the port that is served.
+	 * Returns the port that the stand-in listens on.
 	 * @return a port of the loopback address
 	 */
 	public int port() {
 		return this.server.ports().get(0);
 	}
 
-	private void readLoad() {
-		this.previousLoad = this.presentLoad;
-		this.presentLoad = this.scheduler.load(this.incarnation);
+	private void sampleLoad() {
+		this.previousLoad = this.currentLoad;
+		this.currentLoad = this.scheduler.load(this.incarnation);
 	}
 
 	private void handle(Exchange exchange) {
@@ -98,33 +98,33 @@
 			return;
 		}
 		if (path.equals("/control/executions")) {
-			exchange.answer(200, this.executions.report(!"false".equals(exchange.query("attempts"))));
+			exchange.respond(200, this.executions.report(!"false".equals(exchange.query("attempts"))));
 			return;
 		}
 		if (exchange.isSilent()) {
 			return;
 		}
-		exchange.answerHeader("Fulmargap-Incarnation", this.incarnation);
+		exchange.responseHeader("Fulmargap-Incarnation", this.incarnation);
 		if (this.faults.current().leaving()) {
-			exchange.answerHeader("Fulmargap-Leaving", "true");
+			exchange.responseHeader("Fulmargap-Leaving", "true");
 		}
 		if (path.equals("/health")) {
-			exchange.answer(200, Map.of("status", "up", "incarnation", this.incarnation));
+			exchange.respond(200, Map.of("status", "up", "incarnation", this.incarnation));
 		}
 		else if (path.equals("/v1/load")) {
-			exchange.answer(200,
+			exchange.respond(200,
 					(this.options.loadLagMs() > 0) ? this.previousLoad : this.scheduler.load(this.incarnation));
 		}
 		else if (path.startsWith(ATTEMPTS) && "DELETE".equals(exchange.method())) {
 			String attempt = URLDecoder.decode(path.substring(ATTEMPTS.length()), StandardCharsets.UTF_8);
-			exchange.answer(200, Map.of("cancelled", this.scheduler.cancel(attempt)));
+			exchange.respond(200, Map.of("cancelled", this.scheduler.cancel(attempt)));
 		}
 		else if (path.startsWith(STAGES) && KINDS.contains(path.substring(STAGES.length()))
 				&& "POST".equals(exchange.method())) {
 			runStage(exchange, path.substring(STAGES.length()));
 		}
 		else {
-			StageAnswer.refuse(exchange, 404, "NOT_FOUND", "no resource " + exchange.method() + " " + path);
+			StageResponse.refuse(exchange, 404, "NOT_FOUND", "no resource " + exchange.method() + " " + path);
 		}
 	}
 
@@ -135,27 +135,27 @@
 					throw new IOException(failure);
 				}
 				StageRun.Body body = Json.MAPPER.readValue(bytes, StageRun.Body.class);
-				EndpointFaults present = this.faults.getAndUpdate((faults) -> faults.afterRequest(body.input()));
-				EndpointFaults applied = present.appliesTo(body.input()) ? present : EndpointFaults.NONE;
-				StageRun run = new StageRun(exchange, kind, body, applied, this.sequence.incrementAndGet(),
+				EndpointFaults current = this.faults.getAndUpdate((faults) -> faults.afterRequest(body.input()));
+				EndpointFaults requestFaults = current.appliesTo(body.input()) ? current : EndpointFaults.NONE;
+				StageRun run = new StageRun(exchange, kind, body, requestFaults, this.sequence.incrementAndGet(),
 						System.currentTimeMillis());
-				exchange.answerHeader("Fulmargap-Attempt",
-						applied.crossAnswer() ? otherThan(run.attempt) : run.attempt);
-				submit(run, present);
+				exchange.responseHeader("Fulmargap-Attempt",
+						requestFaults.crossAnswer() ? differentAttempt(run.attempt) : run.attempt);
+				submit(run, current);
 			}
 			catch (IOException | RuntimeException ex) {
-				StageAnswer.refuse(exchange, 400, "MALFORMED_REQUEST", String.valueOf(ex.getMessage()));
+				StageResponse.refuse(exchange, 400, "MALFORMED_REQUEST", String.valueOf(ex.getMessage()));
 			}
 		});
 	}
 
-	private static String otherThan(String attempt) {
+	private static String differentAttempt(String attempt) {
 		return attempt.startsWith("crossed/") ? "crossed/1/0/0" : "crossed/0/0/0";
 	}
 
-	private void submit(StageRun run, EndpointFaults present) {
+	private void submit(StageRun run, EndpointFaults current) {
 		Exchange exchange = run.exchange;
-		if (present.crashes(run.body.input())) {
+		if (current.crashes(run.body.input())) {
 			this.executions.started(run.kind, run.attempt, run.key, 1);
 			crash();
 		}
@@ -163,27 +163,27 @@
 			exchange.abort();
 		}
 		else if (run.faults.notRun()) {
-			StageAnswer.refuse(exchange, 503, "REFUSED", "refused by a fault setting");
+			StageResponse.refuse(exchange, 503, "REFUSED", "refused by an injected fault");
 		}
 		else if (run.faults.failStatus() != 0) {
-			exchange.error(run.faults.failStatus(), "FAILED", "failed by a fault setting");
+			exchange.error(run.faults.failStatus(), "FAILED", "failed by an injected fault");
 		}
 		else {
 			switch (this.scheduler.submit(run)) {
-				case FULL -> StageAnswer.refuse(exchange, 503, "QUEUE_FULL", "the queue is full");
-				case OVERLOADED -> overloaded(exchange);
-				case TAKEN -> {
+				case QUEUE_FULL -> StageResponse.refuse(exchange, 503, "QUEUE_FULL", "the queue is full");
+				case OVERLOADED -> handleColdOverload(exchange);
+				case ACCEPTED -> {
 				}
 			}
 		}
 	}
 
-	private void overloaded(Exchange exchange) {
+	private void handleColdOverload(Exchange exchange) {
 		if (this.options.whenColdOverloaded().isCrash()) {
 			crash();
 		}
 		else {
-			exchange.error(500, "COLD_OVERLOADED", "the endpoint is cold and got more than its capacity");
+			exchange.error(500, "COLD_OVERLOADED", "the endpoint is cold and the request exceeds its capacity");
 		}
 	}
 
@@ -198,15 +198,16 @@
 			this.scheduler.releaseHeld();
 		}
 		if (updated.crash()) {
-			// The answer to the control request must leave before the connections break.
+			// Delayed so that the response to this control request is sent before the
+			// connections are closed.
 			this.timer.schedule(this::crash, 50, TimeUnit.MILLISECONDS);
 		}
 		return updated.withoutTriggers();
 	}
 
 	private void crash() {
-		EndpointFaults present = this.faults.current();
-		if (present.crashExit()) {
+		EndpointFaults current = this.faults.current();
+		if (current.crashExit()) {
 			Runtime.getRuntime().halt(CRASH_EXIT_CODE);
 		}
 		if (!this.down.compareAndSet(false, true)) {
@@ -215,18 +216,18 @@
 		this.executions.crashed();
 		this.scheduler.crash();
 		this.timer.execute(() -> {
-			this.server.goDown();
-			this.timer.schedule(this::comeBack, present.crashDownMs(), TimeUnit.MILLISECONDS);
+			this.server.stopListening();
+			this.timer.schedule(this::restart, current.crashDownMs(), TimeUnit.MILLISECONDS);
 		});
 	}
 
-	private void comeBack() {
+	private void restart() {
 		this.incarnation = newIncarnation();
 		this.scheduler.crash();
-		this.presentLoad = this.scheduler.load(this.incarnation);
-		this.previousLoad = this.presentLoad;
+		this.currentLoad = this.scheduler.load(this.incarnation);
+		this.previousLoad = this.currentLoad;
 		this.down.set(false);
-		this.server.comeBack();
+		this.server.resumeListening();
 	}
 
 	private static String newIncarnation() {
--- a/standin/src/main/java/org/fulmargap/standin/Exchange.java
+++ b/standin/src/main/java/org/fulmargap/standin/Exchange.java
@@ -17,8 +17,8 @@
 import org.eclipse.jetty.util.Promise;
 
 /**
- * One HTTP request and its answer. All methods return without waiting, so that many
- * requests can wait for their answer with few threads.
+ * An HTTP request and its response. No method blocks, so that few threads can serve many
+ * concurrent requests.
  */
 final class Exchange {
 
@@ -75,9 +75,9 @@
 	}
 
 	/**
-	 * Tells whether the connection has gone silent: nothing that is written arrives.
+	 * Returns whether the connection is silenced, so that requests on it get no response.
 	 * Control requests are exempt, so that faults can be switched off again.
-	 * @return {@code true} if answers must be swallowed
+	 * @return {@code true} if responses must be dropped
 	 */
 	boolean isSilent() {
 		return this.server.isSilent(connection()) && !path().startsWith("/control/");
@@ -99,26 +99,26 @@
 		return body;
 	}
 
-	Exchange answerHeader(String name, String value) {
+	Exchange responseHeader(String name, String value) {
 		this.response.getHeaders().put(name, value);
 		return this;
 	}
 
-	void answer(int status, Object value) {
-		answer(status, json(value));
+	void respond(int status, Object value) {
+		respond(status, json(value));
 	}
 
-	void answer(int status, byte[] body) {
-		answer(status, body, Callback.NOOP);
+	void respond(int status, byte[] body) {
+		respond(status, body, Callback.NOOP);
 	}
 
 	/**
-	 * Sends a whole answer.
+	 * Sends a complete response.
 	 * @param status the HTTP status
-	 * @param body a JSON text
-	 * @param afterwards told when the answer has been written
+	 * @param body the body, in JSON
+	 * @param afterwards called when the write of the response has completed
 	 */
-	void answer(int status, byte[] body, Callback afterwards) {
+	void respond(int status, byte[] body, Callback afterwards) {
 		if (isSilent() || !this.ended.compareAndSet(false, true)) {
 			return;
 		}
@@ -129,21 +129,22 @@
 	}
 
 	void error(int status, String type, String message) {
-		answer(status, new ErrorBody(new ErrorBody.Detail(type, message)));
+		respond(status, new ErrorBody(new ErrorBody.Detail(type, message)));
 	}
 
-	void startEvents() {
+	void startEventStream() {
 		this.response.setStatus(200);
 		this.response.getHeaders().put(HttpHeader.CONTENT_TYPE, "text/event-stream");
 	}
 
 	/**
-	 * Writes one server-sent event.
+	 * Writes a server-sent event. On a silenced connection the event is dropped and
+	 * counts as written.
 	 * @param name the name of the event
 	 * @param value the data, written as JSON
-	 * @param written told when the event has been written, or that the caller is gone
+	 * @param written called when the event has been written or the write has failed
 	 */
-	void event(String name, Object value, Callback written) {
+	void sendEvent(String name, Object value, Callback written) {
 		if (isSilent()) {
 			written.succeeded();
 			return;
@@ -152,18 +153,18 @@
 		this.response.write(false, ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)), written);
 	}
 
-	void endEvents() {
+	void endEventStream() {
 		if (!isSilent() && this.ended.compareAndSet(false, true)) {
 			this.response.write(true, ByteBuffer.allocate(0), this.callback);
 		}
 	}
 
 	/**
-	 * Sends the first part of an answer and closes the connection.
-	 * @param part the part that is sent
-	 * @param length the length that the answer claims to have
+	 * Sends the first part of a response and closes the connection.
+	 * @param part the part of the body that is sent
+	 * @param length the content length that the response declares, in bytes
 	 */
-	void answerPart(byte[] part, int length) {
+	void respondPartially(byte[] part, int length) {
 		if (isSilent() || !this.ended.compareAndSet(false, true)) {
 			return;
 		}
@@ -174,12 +175,12 @@
 	}
 
 	/**
-	 * Returns a callback that sends a second answer on the connection, which a client
-	 * without checks takes for the answer to its next request.
-	 * @param body the body of the answer
+	 * Returns a callback that sends a second response on the connection. A client that
+	 * does not check the attempt id uses it as the response to its next request.
+	 * @param body the body of the response
 	 * @return the callback
 	 */
-	Callback duplicate(byte[] body) {
+	Callback duplicateResponse(byte[] body) {
 		StringBuilder head = new StringBuilder("HTTP/1.1 200 OK\r\n");
 		this.response.getHeaders()
 			.forEach((field) -> head.append(field.getName()).append(": ").append(field.getValue()).append("\r\n"));
@@ -190,14 +191,14 @@
 	}
 
 	/**
-	 * Closes the connection. The callback stays open, because its failure would make
-	 * Jetty write an error answer.
+	 * Closes the connection. The callback is not completed, because failing it would make
+	 * Jetty write an error response.
 	 */
 	private void closeConnection() {
 		connection().close();
 	}
 
-	/** Closes the connection without an answer, or without the rest of one. */
+	/** Closes the connection without a response, or without the rest of it. */
 	void abort() {
 		if (!isSilent() && this.ended.compareAndSet(false, true)) {
 			closeConnection();
@@ -214,17 +215,17 @@
 	}
 
 	/**
-	 * Body of an error answer.
+	 * Body of an error response.
 	 *
-	 * @param error type and message
+	 * @param error the type and message
 	 */
 	record ErrorBody(Detail error) {
 
 		/**
 		 * Type and message of an error.
 		 *
-		 * @param type a constant that programs can compare
-		 * @param message a text for people
+		 * @param type the error code, for programs
+		 * @param message the description, for people
 		 */
 		record Detail(String type, String message) {
 		}
--- a/standin/src/main/java/org/fulmargap/standin/Executions.java
+++ b/standin/src/main/java/org/fulmargap/standin/Executions.java
@@ -7,12 +7,12 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * Counts what an endpoint stand-in has run, so that tests can assert that an action ran
- * at most once. The counts survive a simulated crash.
+ * Counts the executions at an endpoint stand-in, so that tests can assert that an action
+ * ran at most once. The counts survive a simulated crash.
  */
 final class Executions {
 
-	/** Oldest attempts are forgotten beyond this number; keys are never forgotten. */
+	/** The oldest attempts beyond this number are evicted; keys are never evicted. */
 	private static final int MAX_ATTEMPTS = 100_000;
 
 	private final Map<String, Integer> keys = new TreeMap<>();
@@ -56,14 +56,14 @@
 	}
 
 	/**
-	 * Answer of {@code GET /control/executions}.
+	 * Response body of {@code GET /control/executions}.
 	 *
 	 * @param keys the number of executions of actions per idempotency key
 	 * @param kinds the number of executions per kind of stage
 	 * @param attempts the number of executions per attempt
-	 * @param peakRunning the highest number of requests that ran at the same time
-	 * @param overloads the number of requests that exceeded the capacity of the cold
-	 * endpoint
+	 * @param peakRunning the maximum number of requests that ran at the same time
+	 * @param overloads the number of requests rejected because the endpoint was cold and
+	 * at its capacity
 	 * @param crashes the number of crashes
 	 */
 	record Report(@JsonProperty("keys") Map<String, Integer> keys, @JsonProperty("kinds") Map<String, Integer> kinds,
--- a/standin/src/main/java/org/fulmargap/standin/FaultSettings.java
+++ b/standin/src/main/java/org/fulmargap/standin/FaultSettings.java
@@ -11,8 +11,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * The faults in force at a stand-in, changed by {@code POST /control/faults}. The request
- * names only the faults that change; {@code {"reset":true}} switches all others off.
+ * Injected faults of a stand-in, read and changed through {@code /control/faults}. A
+ * change names only the faults that change; with {@code "reset":true} all others are
+ * switched off.
  *
  * @param <T> the record that holds the faults
  */
@@ -39,14 +40,13 @@
 	}
 
 	/**
-	 * Answers a request to read or change the faults.
+	 * Handles a request to read or change the faults.
 	 * @param exchange the request
-	 * @param triggers carries out faults that happen once, and returns the faults that
-	 * stay in force
+	 * @param triggers applies the one-shot faults and returns the faults that stay active
 	 */
 	void handle(Exchange exchange, UnaryOperator<T> triggers) {
 		if ("GET".equals(exchange.method())) {
-			exchange.answer(200, current());
+			exchange.respond(200, current());
 			return;
 		}
 		exchange.body().whenComplete((body, failure) -> {
@@ -57,7 +57,7 @@
 			try {
 				T updated = merge(Json.MAPPER.readTree(body));
 				this.current.set(triggers.apply(updated));
-				exchange.answer(200, updated);
+				exchange.respond(200, updated);
 			}
 			catch (UnrecognizedPropertyException ex) {
 				exchange.error(400, "UNKNOWN_FAULT", "unknown fault " + ex.getPropertyName());
--- a/standin/src/main/java/org/fulmargap/standin/HttpServer.java
+++ b/standin/src/main/java/org/fulmargap/standin/HttpServer.java
@@ -21,18 +21,18 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * HTTP server on the loopback address, whose connections can be cut or go silent.
+ * HTTP server on the loopback address whose connections can be closed or silenced.
  */
 final class HttpServer implements AutoCloseable {
 
-	/** Long enough that no test or demo run sees an idle connection closed. */
+	/** Long enough that no idle connection is closed during a test or a demo. */
 	private static final long IDLE_TIMEOUT_MS = 600_000;
 
 	private final Server server;
 
 	private final List<ServerConnector> connectors = new ArrayList<>();
 
-	private final Set<EndPoint> silent = Collections.synchronizedSet(Collections.newSetFromMap(new WeakHashMap<>()));
+	private final Set<EndPoint> silenced = Collections.synchronizedSet(Collections.newSetFromMap(new WeakHashMap<>()));
 
 	HttpServer(String name, List<Integer> ports, Consumer<Exchange> handler) {
 		QueuedThreadPool threads = new QueuedThreadPool(24, 4);
@@ -42,7 +42,7 @@
 		HttpConfiguration configuration = new HttpConfiguration();
 		configuration.setIdleTimeout(IDLE_TIMEOUT_MS);
 		configuration.setSendServerVersion(false);
-		// Attempt ids contain slashes, which clients send encoded in paths.
+		// Clients send attempt ids in paths, and these contain encoded slashes.
 		configuration.setUriCompliance(UriCompliance.LEGACY);
 		for (int port : ports) {
 			ServerConnector connector = new ServerConnector(this.server, 1, 1,
@@ -73,10 +73,10 @@
 			throw ex;
 		}
 		catch (Exception ex) {
-			throw new IOException("server did not start", ex);
+			throw new IOException("HTTP server failed to start", ex);
 		}
 		for (ServerConnector connector : this.connectors) {
-			// A restart after a simulated crash must get the same port again.
+			// Keeps the port for the restart after a simulated crash.
 			connector.setPort(connector.getLocalPort());
 		}
 	}
@@ -86,13 +86,13 @@
 	}
 
 	boolean isSilent(EndPoint connection) {
-		return this.silent.contains(connection);
+		return this.silenced.contains(connection);
 	}
 
-	/** Lets all open connections go silent. Connections opened later work. */
+	/** Stops responding on all open connections. Connections opened later are served. */
 	void silenceOpenConnections() {
 		for (ServerConnector connector : this.connectors) {
-			this.silent.addAll(connector.getConnectedEndPoints());
+			this.silenced.addAll(connector.getConnectedEndPoints());
 		}
 	}
 
@@ -103,7 +103,7 @@
 	}
 
 	/** Closes all connections and refuses new ones. */
-	void goDown() {
+	void stopListening() {
 		for (ServerConnector connector : this.connectors) {
 			connector.close();
 		}
@@ -114,19 +114,19 @@
 			}
 		}
 		catch (Exception ex) {
-			throw new IllegalStateException("connector did not stop", ex);
+			throw new IllegalStateException("HTTP connector failed to stop", ex);
 		}
 	}
 
-	/** Accepts connections again after {@link #goDown()}. */
-	void comeBack() {
+	/** Accepts connections again after {@link #stopListening()}. */
+	void resumeListening() {
 		try {
 			for (ServerConnector connector : this.connectors) {
 				connector.start();
 			}
 		}
 		catch (Exception ex) {
-			throw new IllegalStateException("connector did not start", ex);
+			throw new IllegalStateException("HTTP connector failed to start", ex);
 		}
 	}
 
@@ -137,7 +137,7 @@
 			this.server.stop();
 		}
 		catch (Exception ex) {
-			throw new IllegalStateException("server did not stop", ex);
+			throw new IllegalStateException("HTTP server failed to stop", ex);
 		}
 	}
 
--- a/standin/src/main/java/org/fulmargap/standin/Json.java
+++ b/standin/src/main/java/org/fulmargap/standin/Json.java
@@ -5,8 +5,8 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
 /**
- * Gives access to the JSON mapper of the stand-ins. The stand-ins share no code with the
- * server, so that a fault in one does not hide the same fault in the other.
+ * JSON mapper of the stand-ins. The stand-ins share no code with the server, so that a
+ * fault in one does not hide the same fault in the other.
  */
 final class Json {
 
--- a/standin/src/main/java/org/fulmargap/standin/PlatformFaults.java
+++ b/standin/src/main/java/org/fulmargap/standin/PlatformFaults.java
@@ -5,15 +5,19 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * Faults of the platform stand-in. Absent fields keep their value.
+ * Injected faults of the platform stand-in. Fields that a change does not contain keep
+ * their value.
  *
- * @param down whether the log closes connections without an answer and without effect
- * @param hang whether the log takes requests and never answers, without effect
- * @param slowMs the delay before a log request takes effect, in milliseconds
- * @param loseAppendAnswers the number of further appends that take effect but whose
- * answer is lost, -1 for all
- * @param cutAddresses the client IP addresses whose log and VM list requests are cut
- * @param cutPorts the platform ports on which log and VM list requests are cut
+ * @param down whether log and VM list requests have no effect and their connections are
+ * closed
+ * @param hang whether log and VM list requests have no effect and get no response
+ * @param slowMs the delay before a log request is executed, in milliseconds
+ * @param loseAppendAnswers the number of further appends that take effect and whose
+ * connection is closed without a response, -1 for all
+ * @param cutAddresses the client IP addresses whose log and VM list requests have no
+ * effect and whose connections are closed
+ * @param cutPorts the platform ports on which log and VM list requests have no effect and
+ * connections are closed
  */
 record PlatformFaults(@JsonProperty("down") boolean down, @JsonProperty("hang") boolean hang,
 		@JsonProperty("slow_ms") long slowMs, @JsonProperty("lose_append_answers") int loseAppendAnswers,
@@ -23,7 +27,8 @@
 
 	PlatformFaults {
 		if (slowMs < 0 || loseAppendAnswers < -1) {
-			throw new IllegalArgumentException("slow_ms and lose_append_answers must not be negative");
+			throw new IllegalArgumentException(
+					"slow_ms must not be negative, and lose_append_answers must be -1 or more");
 		}
 		cutAddresses = (cutAddresses != null) ? List.copyOf(cutAddresses) : List.of();
 		cutPorts = (cutPorts != null) ? List.copyOf(cutPorts) : List.of();
--- a/standin/src/main/java/org/fulmargap/standin/PlatformStandIn.java
+++ b/standin/src/main/java/org/fulmargap/standin/PlatformStandIn.java
@@ -13,11 +13,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Stand-in of the platform: the log service and the list of VMs.
+ * Stand-in of the platform with fault injection: the log service and the VM list.
  */
 public final class PlatformStandIn implements AutoCloseable {
 
-	private static final int MAX_READ = 1000;
+	private static final int MAX_RECORDS_PER_READ = 1000;
 
 	private static final String LOG_PATH = "/v1/log/";
 
@@ -43,7 +43,7 @@
 
 	/**
 	 * Creates the stand-in without starting it.
-	 * @param options ports, limits and lag
+	 * @param options the ports, limits and lag
 	 */
 	public PlatformStandIn(Options options) {
 		this.options = options;
@@ -53,7 +53,7 @@
 	}
 
 	/**
-	 * Starts to serve.
+	 * Starts to accept requests.
 	 * @throws IOException if a port cannot be opened
 	 */
 	public void start() throws IOException {
@@ -61,8 +61,8 @@
 	}
 
 	/**
-	 * Returns the ports that are served.
-	 * @return one port per port of the options, in the same order
+	 * Returns the ports that the stand-in listens on.
+	 * @return one port for each port of the options, in the same order
 	 */
 	public List<Integer> ports() {
 		return this.server.ports();
@@ -77,33 +77,34 @@
 			setVms(exchange);
 		}
 		else if (path.equals("/health")) {
-			exchange.answer(200, Map.of("status", "up"));
+			exchange.respond(200, Map.of("status", "up"));
 		}
 		else {
-			serve(exchange, path);
+			handlePlatformRequest(exchange, path);
 		}
 	}
 
-	private void serve(Exchange exchange, String path) {
-		PlatformFaults present = this.faults.current();
-		if (present.down() || present.cutPorts().contains(exchange.localPort())
-				|| present.cutAddresses().contains(exchange.remoteAddress().getAddress().getHostAddress())) {
+	private void handlePlatformRequest(Exchange exchange, String path) {
+		PlatformFaults current = this.faults.current();
+		if (current.down() || current.cutPorts().contains(exchange.localPort())
+				|| current.cutAddresses().contains(exchange.remoteAddress().getAddress().getHostAddress())) {
 			exchange.abort();
 		}
-		else if (present.hang()) {
+		else if (current.hang()) {
 			return;
 		}
 		else if (path.equals("/v1/vms")) {
-			exchange.answer(200, this.vms.read(System.currentTimeMillis()));
+			exchange.respond(200, this.vms.read(System.currentTimeMillis()));
 		}
 		else if (path.startsWith(LOG_PATH) && path.endsWith(RECORDS)
 				&& path.length() > LOG_PATH.length() + RECORDS.length()) {
 			String stream = path.substring(LOG_PATH.length(), path.length() - RECORDS.length());
-			if (present.slowMs() > 0) {
-				this.scheduler.schedule(() -> log(exchange, stream), present.slowMs(), TimeUnit.MILLISECONDS);
+			if (current.slowMs() > 0) {
+				this.scheduler.schedule(() -> handleLogRequest(exchange, stream), current.slowMs(),
+						TimeUnit.MILLISECONDS);
 			}
 			else {
-				log(exchange, stream);
+				handleLogRequest(exchange, stream);
 			}
 		}
 		else {
@@ -111,7 +112,7 @@
 		}
 	}
 
-	private void log(Exchange exchange, String name) {
+	private void handleLogRequest(Exchange exchange, String name) {
 		LogStream stream = this.streams.computeIfAbsent(name,
 				(key) -> new LogStream(this.options.retainRecords(), this.options.retainMs()));
 		if ("POST".equals(exchange.method())) {
@@ -119,8 +120,8 @@
 			return;
 		}
 		try {
-			int max = (int) Math.min(MAX_READ, Math.max(0, exchange.query("max", MAX_READ)));
-			exchange.answer(200, stream.read(exchange.query("from", 0), max, System.currentTimeMillis()));
+			int max = (int) Math.min(MAX_RECORDS_PER_READ, Math.max(0, exchange.query("max", MAX_RECORDS_PER_READ)));
+			exchange.respond(200, stream.read(exchange.query("from", 0), max, System.currentTimeMillis()));
 		}
 		catch (NumberFormatException ex) {
 			exchange.error(400, "INVALID_PARAMETER", "from and max must be numbers");
@@ -142,18 +143,18 @@
 				return;
 			}
 			if (!this.rateLimit.tryAcquire(System.nanoTime())) {
-				exchange.answerHeader("Retry-After", "1")
+				exchange.responseHeader("Retry-After", "1")
 					.error(429, "RATE_LIMITED", "more than " + this.options.appendsPerSecond() + " appends per second");
 				return;
 			}
 			long offset = stream.append(value, System.currentTimeMillis());
-			PlatformFaults before = this.faults.getAndUpdate((present) -> (present.loseAppendAnswers() > 0)
-					? present.withLoseAppendAnswers(present.loseAppendAnswers() - 1) : present);
-			if (before.loseAppendAnswers() != 0) {
+			PlatformFaults previous = this.faults.getAndUpdate((current) -> (current.loseAppendAnswers() > 0)
+					? current.withLoseAppendAnswers(current.loseAppendAnswers() - 1) : current);
+			if (previous.loseAppendAnswers() != 0) {
 				exchange.abort();
 				return;
 			}
-			exchange.answer(200, Map.of("offset", offset));
+			exchange.respond(200, Map.of("offset", offset));
 		});
 	}
 
@@ -164,7 +165,7 @@
 					throw new IOException(failure);
 				}
 				this.vms.set(Json.MAPPER.readValue(body, VmUpdate.class).vms(), System.currentTimeMillis());
-				exchange.answer(200, Map.of());
+				exchange.respond(200, Map.of());
 			}
 			catch (IOException ex) {
 				exchange.error(400, "INVALID_VM_LIST", ex.getMessage());
@@ -179,9 +180,9 @@
 	}
 
 	/**
-	 * Body of {@code POST /control/vms}.
+	 * Request body of {@code POST /control/vms}.
 	 *
-	 * @param vms the new list
+	 * @param vms the new VM list
 	 */
 	record VmUpdate(@JsonProperty(value = "vms", required = true) List<VmList.Vm> vms) {
 
@@ -194,30 +195,31 @@
 	/**
 	 * Options of the platform stand-in.
 	 *
-	 * @param ports the ports to serve, zero for any free port
+	 * @param ports the ports to listen on, zero for any free port
 	 * @param appendsPerSecond the limit of appends per second over all streams
 	 * @param retainRecords the number of records that each stream retains
-	 * @param retainMs the age up to which records are retained, in milliseconds
+	 * @param retainMs the retention time of records in milliseconds
 	 * @param vmListLagMs the lag of the VM list in milliseconds
 	 */
 	public record Options(List<Integer> ports, int appendsPerSecond, int retainRecords, long retainMs,
 			long vmListLagMs) {
 
 		/**
-		 * Copies the list of ports and checks the limits.
+		 * Copies the list of ports and checks the options.
 		 */
 		public Options {
 			ports = List.copyOf(ports);
 			if (ports.isEmpty() || appendsPerSecond < 1 || retainRecords < 1 || retainMs < 1 || vmListLagMs < 0) {
-				throw new IllegalArgumentException("ports, limits and retention must be positive");
+				throw new IllegalArgumentException(
+						"ports are required, limits and retention must be positive, and the lag must not be negative");
 			}
 		}
 
 		/**
-		 * Returns the options that tests use: one free port and the limits of the real
+		 * Returns the options that tests use: one free port, and the limits of the real
 		 * log service as far as they are known.
-		 * @return 400 appends per second, 20,000 records, one hour, a VM list that lags
-		 * by 2 s
+		 * @return options for 400 appends per second, a retention of 20,000 records and
+		 * one hour, and a VM list with a lag of 2 s
 		 */
 		public static Options defaults() {
 			return new Options(List.of(0), 400, 20_000, 3_600_000, 2_000);
@@ -225,7 +227,7 @@
 
 		/**
 		 * Returns a copy with other ports.
-		 * @param ports the ports to serve, zero for any free port
+		 * @param ports the ports to listen on, zero for any free port
 		 * @return the copy
 		 */
 		public Options withPorts(List<Integer> ports) {
--- a/standin/src/main/java/org/fulmargap/standin/PrefixCache.java
+++ b/standin/src/main/java/org/fulmargap/standin/PrefixCache.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Bounded cache of prompt prefixes in blocks of tokens; the least recently used blocks
- * are dropped first.
+ * Bounded cache of prompt prefixes in blocks of 16 tokens. Evicts the least recently used
+ * blocks.
  */
 final class PrefixCache {
 
@@ -27,19 +27,19 @@
 	}
 
 	/**
-	 * Looks up a prompt and caches it.
+	 * Looks up the prefix of a prompt, and caches the prompt.
 	 * @param tokens the tokens of the prompt
 	 * @return the number of leading tokens that were cached
 	 */
-	synchronized int use(String[] tokens) {
+	synchronized int lookUpAndCache(String[] tokens) {
 		int cached = 0;
-		boolean hit = true;
+		boolean allHit = true;
 		long hash = 1;
 		for (int index = 0; index < tokens.length; index++) {
 			hash = hash * 1_000_003 + tokens[index].hashCode();
 			if ((index + 1) % BLOCK_TOKENS == 0) {
-				hit = this.blocks.put(hash, Boolean.TRUE) != null && hit;
-				cached = hit ? index + 1 : cached;
+				allHit = this.blocks.put(hash, Boolean.TRUE) != null && allHit;
+				cached = allHit ? index + 1 : cached;
 			}
 		}
 		return cached;
--- a/standin/src/main/java/org/fulmargap/standin/RateLimit.java
+++ b/standin/src/main/java/org/fulmargap/standin/RateLimit.java
@@ -1,7 +1,8 @@
 package org.fulmargap.standin;
 
 /**
- * Limits the rate of appends with a token bucket that holds a tenth of a second's worth.
+ * Token bucket that limits the rate of appends. It allows bursts of the appends of a
+ * tenth of a second, and of at least one.
  */
 final class RateLimit {
 
--- a/standin/src/main/java/org/fulmargap/standin/StageOutput.java
+++ b/standin/src/main/java/org/fulmargap/standin/StageOutput.java
@@ -10,9 +10,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Computes the output of a stage from its input alone. Each output names the digest of
- * the input of its pipeline's first stage, so that a caller can check that an answer
- * belongs to its request.
+ * Computes the output of a stage as a function of its input. Each output contains the
+ * digest of the input of the pipeline's first stage, so that a client can check that a
+ * response belongs to its request.
  */
 public final class StageOutput {
 
@@ -24,11 +24,11 @@
 	}
 
 	/**
-	 * Returns the tokens of the output.
+	 * Returns the tokens of the output of a stage.
 	 * @param kind the kind of the stage
 	 * @param input the input of the stage
 	 * @param maxTokens the number of tokens of a generate stage, zero for the default
-	 * @return at least one token
+	 * @return the tokens, at least one
 	 */
 	public static List<String> tokens(String kind, String input, int maxTokens) {
 		List<String> tokens = new ArrayList<>();
@@ -43,10 +43,11 @@
 	}
 
 	/**
-	 * Tells whether an answer belongs to the request with a given input.
+	 * Returns whether an output belongs to the request with a given input.
 	 * @param output the output of the pipeline
-	 * @param input the input that the caller sent
-	 * @return {@code true} if the output names the digest of the input and no other
+	 * @param input the input that the client sent
+	 * @return {@code true} if the output contains the digest of the input and of no other
+	 * input
 	 */
 	public static boolean belongsTo(String output, String input) {
 		Matcher matcher = ORIGIN.matcher(output);
--- a/standin/src/main/java/org/fulmargap/standin/StageAnswer.java
+++ b/standin/src/main/java/org/fulmargap/standin/StageResponse.java
@@ -8,9 +8,9 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Writes the answer of one run, subject to the faults of the run.
+ * Sends the response to a stage request, altered by the injected faults of the request.
  */
-final class StageAnswer {
+final class StageResponse {
 
 	private static final String CROSSED_INPUT = "input of another request";
 
@@ -24,7 +24,7 @@
 
 	private final List<String> tokens;
 
-	StageAnswer(StageRun run, int promptTokens, int cachedTokens, StageScheduler scheduler) {
+	StageResponse(StageRun run, int promptTokens, int cachedTokens, StageScheduler scheduler) {
 		this.run = run;
 		this.promptTokens = promptTokens;
 		this.cachedTokens = cachedTokens;
@@ -34,25 +34,25 @@
 	}
 
 	static void refuse(Exchange exchange, int status, String type, String message) {
-		exchange.answerHeader("Fulmargap-Not-Run", "true").error(status, type, message);
+		exchange.responseHeader("Fulmargap-Not-Run", "true").error(status, type, message);
 	}
 
-	void begin() {
+	void respond() {
 		if (this.run.faults.closeAfter()) {
 			if (this.scheduler.finish(this.run)) {
 				this.run.exchange.abort();
 			}
 		}
 		else if (this.run.kind.equals("generate")) {
-			this.run.exchange.startEvents();
-			token(this.run.body.startIndex());
+			this.run.exchange.startEventStream();
+			sendToken(this.run.body.startIndex());
 		}
 		else if (this.scheduler.finish(this.run)) {
-			answer();
+			respondComplete();
 		}
 	}
 
-	private void answer() {
+	private void respondComplete() {
 		Map<String, Object> fields = new LinkedHashMap<>();
 		fields.put("output", this.tokens.get(0));
 		fields.put("tokens", this.promptTokens);
@@ -61,45 +61,47 @@
 		Exchange exchange = this.run.exchange;
 		EndpointFaults.Truncation truncation = this.run.faults.truncateAnswer();
 		if (truncation == EndpointFaults.Truncation.NONE) {
-			exchange.answer(200, body, this.run.faults.duplicateAnswer() ? exchange.duplicate(body) : Callback.NOOP);
+			exchange.respond(200, body,
+					this.run.faults.duplicateAnswer() ? exchange.duplicateResponse(body) : Callback.NOOP);
 		}
 		else if (truncation.closesConnection()) {
-			exchange.answerPart(Arrays.copyOf(body, body.length / 2), body.length);
+			exchange.respondPartially(Arrays.copyOf(body, body.length / 2), body.length);
 		}
 		else {
-			exchange.answer(200, Arrays.copyOf(body, body.length / 2));
+			exchange.respond(200, Arrays.copyOf(body, body.length / 2));
 		}
 	}
 
-	private void token(int index) {
+	private void sendToken(int index) {
 		Exchange exchange = this.run.exchange;
 		EndpointFaults.Truncation truncation = this.run.faults.truncateAnswer();
-		boolean cut = truncation != EndpointFaults.Truncation.NONE && index >= this.tokens.size() / 2;
+		boolean truncated = truncation != EndpointFaults.Truncation.NONE && index >= this.tokens.size() / 2;
 		if (this.run.isCancelled()) {
 			return;
 		}
-		if (cut || index >= this.tokens.size()) {
+		if (truncated || index >= this.tokens.size()) {
 			if (!this.scheduler.finish(this.run)) {
 				return;
 			}
-			if (cut && truncation.closesConnection()) {
+			if (truncated && truncation.closesConnection()) {
 				exchange.abort();
 			}
-			else if (cut) {
-				exchange.endEvents();
+			else if (truncated) {
+				exchange.endEventStream();
 			}
 			else {
-				exchange.event("done", Map.of("count", this.tokens.size()), Callback.from(exchange::endEvents));
+				exchange.sendEvent("done", Map.of("count", this.tokens.size()),
+						Callback.from(exchange::endEventStream));
 			}
 			return;
 		}
-		Callback next = Callback.from(() -> this.scheduler.nextToken(this.run, () -> token(index + 1)),
+		Callback next = Callback.from(() -> this.scheduler.scheduleToken(this.run, () -> sendToken(index + 1)),
 				(failure) -> this.scheduler.cancel(this.run.attempt));
 		Map<String, Object> event = new LinkedHashMap<>();
 		event.put("index", index);
 		event.put("text", this.tokens.get(index));
-		exchange.event("token", event, this.run.faults.duplicateAnswer()
-				? Callback.from(() -> exchange.event("token", event, next), next::failed) : next);
+		exchange.sendEvent("token", event, this.run.faults.duplicateAnswer()
+				? Callback.from(() -> exchange.sendEvent("token", event, next), next::failed) : next);
 	}
 
 }
--- a/standin/src/main/java/org/fulmargap/standin/StageRun.java
+++ b/standin/src/main/java/org/fulmargap/standin/StageRun.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * One request to run a stage.
+ * Request to run a stage, ordered by priority, then by arrival.
  */
 final class StageRun implements Comparable<StageRun> {
 
@@ -75,25 +75,25 @@
 	 */
 	enum State {
 
-		/** Waits for a slot. */
+		/** In the queue. */
 		QUEUED,
 
-		/** Holds a slot. */
+		/** Occupies a slot. */
 		RUNNING,
 
-		/** Has given its slot back. */
+		/** Completed; the slot is released. */
 		FINISHED,
 
-		/** Was cancelled by the caller or by a crash. */
+		/** Cancelled by the client, by the deadline or by a crash. */
 		CANCELLED
 
 	}
 
 	/**
-	 * Body of a stage request.
+	 * Request body of {@code POST /v1/stages/{kind}}.
 	 *
-	 * @param requestId the identity of the request
-	 * @param input the input
+	 * @param requestId the id of the request
+	 * @param input the input of the stage
 	 * @param maxTokens the number of tokens to generate, zero for the default
 	 * @param startIndex the index of the first token to send
 	 */
@@ -103,7 +103,8 @@
 
 		Body {
 			if (input == null || maxTokens < 0 || startIndex < 0) {
-				throw new IllegalArgumentException("input is required and numbers must not be negative");
+				throw new IllegalArgumentException(
+						"input is required; max_tokens and start_index must not be negative");
 			}
 		}
 
--- a/standin/src/main/java/org/fulmargap/standin/StageScheduler.java
+++ b/standin/src/main/java/org/fulmargap/standin/StageScheduler.java
@@ -16,7 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs stages with bounded concurrency and a bounded queue ordered by priority.
+ * Runs stages with bounded concurrency, and queues the others in a bounded queue ordered
+ * by priority, then by arrival.
  */
 final class StageScheduler {
 
@@ -51,9 +52,10 @@
 	}
 
 	/**
-	 * Takes a run into a slot or the queue.
+	 * Starts a run if a slot is free, and otherwise queues it. A cold endpoint queues no
+	 * runs.
 	 * @param run the run
-	 * @return whether it was taken
+	 * @return whether the run was accepted, or why not
 	 */
 	synchronized Admission submit(StageRun run) {
 		if (!this.capacity.isWarm() && this.running.size() >= this.capacity.current()) {
@@ -62,13 +64,13 @@
 		}
 		if (this.running.size() < this.capacity.current()) {
 			start(run);
-			return Admission.TAKEN;
+			return Admission.ACCEPTED;
 		}
 		if (this.queue.size() >= this.options.maxQueue()) {
-			return Admission.FULL;
+			return Admission.QUEUE_FULL;
 		}
 		this.queue.add(run);
-		return Admission.TAKEN;
+		return Admission.ACCEPTED;
 	}
 
 	private void start(StageRun run) {
@@ -77,25 +79,25 @@
 		this.capacity.started(nowMs());
 		this.executions.started(run.kind, run.attempt, run.key, this.running.size());
 		String[] tokens = PrefixCache.promptTokens(run.body.input());
-		int cached = this.cache.use(tokens);
-		double workMs = this.options.baseMs() + (tokens.length - cached) * this.options.promptUsPerToken() / 1_000.0;
-		StageAnswer answer = new StageAnswer(run, tokens.length, cached, this);
-		schedule(() -> answerUnlessHeld(run, answer::begin),
-				run.faults.delayMs() + Math.round(workMs * run.faults.slowFactor()));
+		int cached = this.cache.lookUpAndCache(tokens);
+		double serviceMs = this.options.baseMs() + (tokens.length - cached) * this.options.promptUsPerToken() / 1_000.0;
+		StageResponse response = new StageResponse(run, tokens.length, cached, this);
+		schedule(() -> respondUnlessHeld(run, response::respond),
+				run.faults.delayMs() + Math.round(serviceMs * run.faults.slowFactor()));
 	}
 
-	private void answerUnlessHeld(StageRun run, Runnable begin) {
-		EndpointFaults present = this.faults.get();
+	private void respondUnlessHeld(StageRun run, Runnable respond) {
+		EndpointFaults current = this.faults.get();
 		synchronized (this) {
-			if (present.hold() && run.body.input().contains(present.match())) {
-				this.held.put(run, begin);
+			if (current.hold() && run.body.input().contains(current.match())) {
+				this.held.put(run, respond);
 				return;
 			}
 		}
-		begin.run();
+		respond.run();
 	}
 
-	/** Lets the runs go on that the fault {@code hold} kept. */
+	/** Continues the runs that were held by the fault {@code hold}. */
 	void releaseHeld() {
 		List<Runnable> released;
 		synchronized (this) {
@@ -105,7 +107,7 @@
 		released.forEach(this.timer::execute);
 	}
 
-	void nextToken(StageRun run, Runnable token) {
+	void scheduleToken(StageRun run, Runnable token) {
 		schedule(token, Math.round(this.options.tokenMs() * run.faults.slowFactor()));
 	}
 
@@ -121,9 +123,10 @@
 	}
 
 	/**
-	 * Gives the slot of a run back and starts the next run.
+	 * Releases the slot of a run and starts queued runs. Queued runs whose deadline has
+	 * passed are refused.
 	 * @param run a running run
-	 * @return {@code false} if the run was cancelled and must not be answered
+	 * @return {@code false} if the run was cancelled and must get no response
 	 */
 	boolean finish(StageRun run) {
 		List<StageRun> expired = new ArrayList<>();
@@ -144,8 +147,8 @@
 				}
 			}
 		}
-		expired
-			.forEach((each) -> StageAnswer.refuse(each.exchange, 503, "EXPIRED", "the deadline passed in the queue"));
+		expired.forEach((queued) -> StageResponse.refuse(queued.exchange, 503, "EXPIRED",
+				"the deadline passed while the request was queued"));
 		return true;
 	}
 
@@ -158,13 +161,13 @@
 		StageRun queued;
 		StageRun started = null;
 		synchronized (this) {
-			queued = find(this.queue, attempt);
+			queued = findAttempt(this.queue, attempt);
 			if (queued != null) {
 				this.queue.remove(queued);
 				queued.state(StageRun.State.CANCELLED);
 			}
 			else {
-				started = find(this.running, attempt);
+				started = findAttempt(this.running, attempt);
 				if (started != null && !started.kind.equals("action")) {
 					this.held.remove(started);
 					started.state(StageRun.State.CANCELLED);
@@ -175,7 +178,7 @@
 			}
 		}
 		if (queued != null) {
-			StageAnswer.refuse(queued.exchange, 503, "CANCELLED", "cancelled before it ran");
+			StageResponse.refuse(queued.exchange, 503, "CANCELLED", "cancelled before it ran");
 			return true;
 		}
 		if (started != null) {
@@ -186,7 +189,7 @@
 		return false;
 	}
 
-	private static StageRun find(Iterable<StageRun> runs, String attempt) {
+	private static StageRun findAttempt(Iterable<StageRun> runs, String attempt) {
 		for (StageRun run : runs) {
 			if (run.attempt.equals(attempt)) {
 				return run;
@@ -200,7 +203,7 @@
 		this.cache.clear();
 	}
 
-	/** Forgets all runs and becomes cold, as a restart does. */
+	/** Discards all runs and becomes cold, as after a restart. */
 	synchronized void crash() {
 		this.running.forEach((run) -> run.state(StageRun.State.CANCELLED));
 		this.queue.forEach((run) -> run.state(StageRun.State.CANCELLED));
@@ -223,29 +226,30 @@
 	}
 
 	/**
-	 * Answers to {@link #submit}.
+	 * Results of {@link #submit}.
 	 */
 	enum Admission {
 
-		/** The run has a slot or a place in the queue. */
-		TAKEN,
+		/** The run was started or queued. */
+		ACCEPTED,
 
-		/** The queue is full; the run was not started. */
-		FULL,
+		/** The run was rejected because the queue is full. */
+		QUEUE_FULL,
 
-		/** The endpoint is cold, and the run exceeds its capacity. */
+		/** The run was rejected because the endpoint is cold and at its capacity. */
 		OVERLOADED
 
 	}
 
 	/**
-	 * Answer of {@code GET /v1/load}.
+	 * Response body of {@code GET /v1/load}.
 	 *
 	 * @param incarnation the incarnation of the endpoint
 	 * @param inFlight the number of running requests
-	 * @param queued the number of waiting requests
-	 * @param capacity the present capacity
-	 * @param reportedAtMs when the reading was taken, milliseconds since the epoch
+	 * @param queued the number of queued requests
+	 * @param capacity the current capacity, the number of requests that may run at the
+	 * same time
+	 * @param reportedAtMs when the load was sampled, in milliseconds since the epoch
 	 * @param attempts the attempts that are running or queued
 	 */
 	record Load(@JsonProperty("incarnation") String incarnation, @JsonProperty("in_flight") int inFlight,
--- a/standin/src/main/java/org/fulmargap/standin/VmList.java
+++ b/standin/src/main/java/org/fulmargap/standin/VmList.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * The list of VMs, which shows the state of some time ago.
+ * VM list of the platform. Reads return the list as it was a fixed time ago.
  */
 final class VmList {
 
@@ -16,30 +16,30 @@
 
 	private final long lagMs;
 
-	private final Deque<Reading> readings = new ArrayDeque<>();
+	private final Deque<Snapshot> snapshots = new ArrayDeque<>();
 
 	VmList(long lagMs) {
 		this.lagMs = lagMs;
-		this.readings.add(new Reading(0, List.of()));
+		this.snapshots.add(new Snapshot(0, List.of()));
 	}
 
 	synchronized void set(List<Vm> vms, long nowMs) {
-		this.readings.addLast(new Reading(nowMs, List.copyOf(vms)));
+		this.snapshots.addLast(new Snapshot(nowMs, List.copyOf(vms)));
 	}
 
-	synchronized Reading read(long nowMs) {
-		while (this.readings.size() > 1 && second().observedAtMs() <= nowMs - this.lagMs) {
-			this.readings.removeFirst();
+	synchronized Snapshot read(long nowMs) {
+		while (this.snapshots.size() > 1 && secondSnapshot().observedAtMs() <= nowMs - this.lagMs) {
+			this.snapshots.removeFirst();
 		}
-		return new Reading(nowMs - this.lagMs, this.readings.getFirst().vms());
+		return new Snapshot(nowMs - this.lagMs, this.snapshots.getFirst().vms());
 	}
 
-	private Reading second() {
-		return this.readings.stream().skip(1).findFirst().orElseThrow();
+	private Snapshot secondSnapshot() {
+		return this.snapshots.stream().skip(1).findFirst().orElseThrow();
 	}
 
 	/**
-	 * One VM of the list.
+	 * A VM of the list.
 	 *
 	 * @param vm the name of the VM
 	 * @param state {@code live} or {@code leaving}
@@ -48,19 +48,19 @@
 
 		Vm {
 			if (vm == null || !STATES.contains(state)) {
-				throw new IllegalArgumentException("a VM needs a name and one of the states " + STATES);
+				throw new IllegalArgumentException("vm is required and state must be one of " + STATES);
 			}
 		}
 
 	}
 
 	/**
-	 * The list as it was at one time.
+	 * The list at a point in time.
 	 *
-	 * @param observedAtMs when the list was like this, milliseconds since the epoch
+	 * @param observedAtMs the point in time, in milliseconds since the epoch
 	 * @param vms the VMs
 	 */
-	record Reading(@JsonProperty("observed_at_ms") long observedAtMs, @JsonProperty("vms") List<Vm> vms) {
+	record Snapshot(@JsonProperty("observed_at_ms") long observedAtMs, @JsonProperty("vms") List<Vm> vms) {
 	}
 
 }
--- a/standin/src/main/java/org/fulmargap/standin/package-info.java
+++ b/standin/src/main/java/org/fulmargap/standin/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Test support processes that take the place of the platform, the endpoints and callers.
+ * Stand-ins of the platform and of endpoints with fault injection, and the load tool,
+ * demo and measuring commands that use them.
  */
 package org.fulmargap.standin;
