--- a/proofs/src/test/java/org/fulmargap/proofs/EntryVmFailureTests.java
+++ b/proofs/src/test/java/org/fulmargap/proofs/EntryVmFailureTests.java
@@ -86,7 +86,7 @@
 
 		private Answer resendWhileFrozen(String key, CompletableFuture<Answer> paused) throws Exception {
 			long startNs = System.nanoTime();
-			this.first.freeze();
+			this.first.pause();
 			try {
 				Answer resent = answer(action(this.second, key));
 				Conditions.await("a pause of more than 3 s", () -> System.nanoTime() - startNs > FROZEN_NS);
@@ -94,7 +94,7 @@
 				return resent;
 			}
 			finally {
-				this.first.thaw();
+				this.first.resume();
 			}
 		}
 
--- a/standin/src/main/java/org/fulmargap/standin/Cluster.java
+++ b/standin/src/main/java/org/fulmargap/standin/Cluster.java
@@ -19,17 +19,18 @@
 import org.fulmargap.standin.LoopbackClient.Answer;
 
 /**
- * Entry VMs of several failure domains as processes, with the stand-ins of platform and
- * endpoints that they use. Everything listens on the loopback address.
+ * Runs entry VMs of several failure domains as processes, together with the stand-ins of
+ * the platform and the endpoints that they use. All of them listen on the loopback
+ * address.
  */
 public final class Cluster implements AutoCloseable {
 
-	/** The bearer key of the client account of the templates. */
+	/** The API key of the client account in the templates, sent as bearer token. */
 	public static final String API_KEY = "demo-key-andinas";
 
 	private static final Duration CALL_TIMEOUT = Duration.ofSeconds(30);
 
-	private static final int MAX_READS = 1_000;
+	private static final int MAX_READ_ATTEMPTS = 1_000;
 
 	private static final long POLL_NS = TimeUnit.MILLISECONDS.toNanos(20);
 
@@ -45,17 +46,17 @@
 
 	private final LoopbackClient control = new LoopbackClient(CALL_TIMEOUT, 16);
 
-	/** Ends the entry VMs when the process that started them is interrupted. */
-	private final Thread cleanUp = new Thread(this::close, "cluster-clean-up");
+	/** Kills the entry VMs when the JVM that started them shuts down. */
+	private final Thread shutdownHook = new Thread(this::close, "cluster-clean-up");
 
 	/**
 	 * Creates the cluster without starting it.
-	 * @param options size, command and folders
-	 * @throws IOException if settings files cannot be written
+	 * @param options the size, command and directories
+	 * @throws IOException if the cluster cannot be set up
 	 */
 	public Cluster(ClusterOptions options) throws IOException {
 		this.options = options;
-		Runtime.getRuntime().addShutdownHook(this.cleanUp);
+		Runtime.getRuntime().addShutdownHook(this.shutdownHook);
 		FreePorts ports = new FreePorts();
 		this.platform = new PlatformStandIn(options.platform().withPorts(ports.next(options.failureDomains().size())));
 		for (String domain : options.failureDomains()) {
@@ -71,18 +72,18 @@
 				command.addAll(List.of("--settings", settingsFile(name).toString()));
 				int[] vmPorts = { ports.next(), ports.next(), ports.next() };
 				this.vms.put(name,
-						new EntryVm(name, domain, vmPorts, command, options.workFolder().resolve(name + ".log")));
+						new EntryVm(name, domain, vmPorts, command, options.workDirectory().resolve(name + ".log")));
 			}
 		}
 	}
 
 	private Path settingsFile(String vm) {
-		return this.options.workFolder().resolve(vm + ".json");
+		return this.options.workDirectory().resolve(vm + ".json");
 	}
 
 	/**
 	 * Starts the stand-ins and all entry VMs, and waits until they are ready.
-	 * @throws Exception if something does not start in time
+	 * @throws Exception if a process does not start or is not ready within 60 s
 	 */
 	public void start() throws Exception {
 		this.platform.start();
@@ -115,14 +116,14 @@
 	}
 
 	/**
-	 * Waits until an entry VM is ready for all requests.
+	 * Waits until an entry VM is ready, also for non-idempotent requests.
 	 * @param vm the entry VM
-	 * @throws Exception if it ends or does not become ready in time
+	 * @throws Exception if the process has ended or is not ready within 60 s
 	 */
 	public void awaitReady(EntryVm vm) throws Exception {
 		Conditions.await(vm.name() + " to be ready", () -> {
 			if (!vm.isAlive()) {
-				throw new IllegalStateException(vm.name() + " has ended: " + vm.output());
+				throw new IllegalStateException(vm.name() + " has exited: " + vm.output());
 			}
 			return get(vm.adminUrl() + "/health/ready").path("ready_non_idempotent").asBoolean();
 		});
@@ -133,7 +134,8 @@
 	}
 
 	/**
-	 * Returns the first patch, filled from its template.
+	 * Returns the patch that sets up pipelines, accounts and endpoints, filled in from
+	 * its template.
 	 * @return a JSON Merge Patch
 	 * @throws IOException if the template cannot be read
 	 */
@@ -151,10 +153,11 @@
 	}
 
 	/**
-	 * Applies a patch at an entry VM and waits until it is in force on all that run.
-	 * @param vm the entry VM that gets the patch
+	 * Sends a configuration patch to an entry VM and waits until it is in force on all
+	 * running entry VMs.
+	 * @param vm the entry VM that receives the patch
 	 * @param mergePatch the patch as JSON text
-	 * @throws Exception if the patch is refused or is not in force in time
+	 * @throws Exception if the patch is refused or is not in force within 60 s
 	 */
 	public void patch(EntryVm vm, String mergePatch) throws Exception {
 		long version = get(vm.adminUrl() + "/v1/config").path("version").asLong();
@@ -162,15 +165,16 @@
 				Map.of("patch_id", "patch-" + version + "-" + System.nanoTime(), "expected_version", version,
 						"merge_patch", Json.MAPPER.readTree(mergePatch)));
 		if (answer.status() != 200) {
-			throw new IllegalStateException("the patch was refused: " + answer.body());
+			throw new IllegalStateException("configuration patch refused: " + answer.body());
 		}
 		awaitVersion(version + 1);
 	}
 
 	/**
-	 * Waits until a configuration version is in force on all entry VMs that run.
+	 * Waits until a configuration version, or a later one, is in force on all running
+	 * entry VMs.
 	 * @param version the version
-	 * @throws Exception if it is not in force in time
+	 * @throws Exception if it is not in force within 60 s
 	 */
 	public void awaitVersion(long version) throws Exception {
 		for (EntryVm vm : this.vms.values()) {
@@ -182,12 +186,13 @@
 	}
 
 	/**
-	 * Sends a request to an entry VM without waiting.
+	 * Sends a pipeline request to an entry VM without waiting for the response.
 	 * @param vm the entry VM
-	 * @param pipeline the pipeline
+	 * @param pipeline the name of the pipeline
 	 * @param key the idempotency key, or {@code null} for none
 	 * @param input the input
-	 * @return a future with the answer, or with the failure of the connection
+	 * @return a future with the response, or with the {@link IOException} if there is
+	 * none
 	 */
 	public CompletableFuture<Answer> request(EntryVm vm, String pipeline, String key, String input) {
 		Map<String, String> headers = new HashMap<>();
@@ -200,12 +205,12 @@
 	}
 
 	/**
-	 * Sends an order for a failure domain.
-	 * @param vm the entry VM that gets the order
-	 * @param domain the failure domain
+	 * Orders that a failure domain is taken out of service or brought back.
+	 * @param vm the entry VM that receives the order
+	 * @param domain the name of the failure domain
 	 * @param state {@code OUT} or {@code IN}
-	 * @return the answer
-	 * @throws IOException if there is no answer
+	 * @return the response
+	 * @throws IOException if there is no response
 	 */
 	public Answer order(EntryVm vm, String domain, String state) throws IOException {
 		return this.control.send("PUT", vm.adminUrl() + "/v1/failure-domains/" + domain + "/state",
@@ -213,29 +218,29 @@
 	}
 
 	/**
-	 * Changes the faults of the platform.
+	 * Changes the injected faults of the platform.
 	 * @param faults the faults that change
-	 * @throws IOException if the platform does not accept them
+	 * @throws IOException if there is no response or the faults are refused
 	 */
 	public void platformFaults(Map<String, ?> faults) throws IOException {
-		require(this.control.send("POST", platformUrl() + "/control/faults", faults));
+		requireAccepted(this.control.send("POST", platformUrl() + "/control/faults", faults));
 	}
 
 	/**
-	 * Changes the faults of an endpoint.
+	 * Changes the injected faults of an endpoint.
 	 * @param endpoint the name of the endpoint
 	 * @param faults the faults that change
-	 * @throws IOException if the endpoint does not accept them
+	 * @throws IOException if there is no response or the faults are refused
 	 */
 	public void endpointFaults(String endpoint, Map<String, ?> faults) throws IOException {
-		require(this.control.send("POST", endpointUrl(endpoint) + "/control/faults", faults));
+		requireAccepted(this.control.send("POST", endpointUrl(endpoint) + "/control/faults", faults));
 	}
 
 	/**
-	 * Changes the faults of all endpoints of a service.
-	 * @param service the service
+	 * Changes the injected faults of all endpoints of a service.
+	 * @param service the name of the service
 	 * @param faults the faults that change
-	 * @throws IOException if an endpoint does not accept them
+	 * @throws IOException if an endpoint does not respond or refuses the faults
 	 */
 	public void serviceFaults(String service, Map<String, ?> faults) throws IOException {
 		for (String name : this.endpoints.keySet()) {
@@ -245,38 +250,38 @@
 		}
 	}
 
-	private static void require(Answer answer) throws IOException {
+	private static void requireAccepted(Answer answer) throws IOException {
 		if (answer.status() != 200) {
 			throw new IOException("fault settings refused: " + answer.body());
 		}
 	}
 
 	/**
-	 * Returns what an endpoint has run. While the endpoint is down after a crash, this
-	 * waits until it is back.
+	 * Returns the executions at an endpoint. While the endpoint is down after a crash,
+	 * the read is repeated.
 	 * @param endpoint the name of the endpoint
-	 * @return the answer of {@code GET /control/executions}
-	 * @throws IOException if the endpoint does not answer in time
+	 * @return the response body of {@code GET /control/executions}, without attempts
+	 * @throws IOException if the endpoint does not respond to 1,000 reads, 20 ms apart
 	 */
 	public JsonNode executions(String endpoint) throws IOException {
-		IOException last = null;
-		for (int tries = 0; tries < MAX_READS; tries++) {
+		IOException lastFailure = null;
+		for (int tries = 0; tries < MAX_READ_ATTEMPTS; tries++) {
 			try {
 				return get(endpointUrl(endpoint) + "/control/executions?attempts=false");
 			}
 			catch (IOException ex) {
-				last = ex;
+				lastFailure = ex;
 				LockSupport.parkNanos(POLL_NS);
 			}
 		}
-		throw last;
+		throw lastFailure;
 	}
 
 	/**
-	 * Counts the executions of an idempotency key over all endpoints.
-	 * @param key the key
+	 * Counts the executions of an idempotency key at all endpoints.
+	 * @param key the idempotency key
 	 * @return the number of executions
-	 * @throws IOException if an endpoint does not answer
+	 * @throws IOException if an endpoint does not respond
 	 */
 	public int executionsOfKey(String key) throws IOException {
 		int count = 0;
@@ -288,16 +293,16 @@
 
 	/**
 	 * Counts the executions of all stages in one failure domain.
-	 * @param domain the failure domain
+	 * @param domain the name of the failure domain
 	 * @return the number of executions
-	 * @throws IOException if an endpoint does not answer
+	 * @throws IOException if an endpoint does not respond
 	 */
 	public int executionsIn(String domain) throws IOException {
 		int count = 0;
 		for (String name : this.endpoints.keySet()) {
 			if (name.endsWith("-" + domain)) {
-				for (JsonNode each : executions(name).path("kinds")) {
-					count += each.asInt();
+				for (JsonNode kindCount : executions(name).path("kinds")) {
+					count += kindCount.asInt();
 				}
 			}
 		}
@@ -308,7 +313,7 @@
 	 * Reads a JSON document.
 	 * @param url the URL
 	 * @return the document
-	 * @throws IOException if there is no JSON answer
+	 * @throws IOException if there is no response or it is not JSON
 	 */
 	public JsonNode get(String url) throws IOException {
 		return this.control.send("GET", url, null).json();
@@ -317,7 +322,7 @@
 	/**
 	 * Returns an entry VM.
 	 * @param name the name of the VM
-	 * @return the entry VM
+	 * @return the entry VM, or {@code null} if there is none of this name
 	 */
 	public EntryVm vm(String name) {
 		return this.vms.get(name);
@@ -333,7 +338,7 @@
 
 	/**
 	 * Returns the names of all endpoints.
-	 * @return the names, service first
+	 * @return the names, each the service and the failure domain joined by a hyphen
 	 */
 	public List<String> endpointNames() {
 		return List.copyOf(this.endpoints.keySet());
@@ -349,7 +354,7 @@
 	}
 
 	/**
-	 * Returns the base URL of the platform as the first failure domain sees it.
+	 * Returns the base URL of the platform on the port of the first failure domain.
 	 * @return a URL without a final slash
 	 */
 	public String platformUrl() {
@@ -358,8 +363,8 @@
 
 	@Override
 	public void close() {
-		if (Thread.currentThread() != this.cleanUp) {
-			removeCleanUp();
+		if (Thread.currentThread() != this.shutdownHook) {
+			removeShutdownHook();
 		}
 		this.client.close();
 		this.control.close();
@@ -368,9 +373,9 @@
 		this.platform.close();
 	}
 
-	private void removeCleanUp() {
+	private void removeShutdownHook() {
 		try {
-			Runtime.getRuntime().removeShutdownHook(this.cleanUp);
+			Runtime.getRuntime().removeShutdownHook(this.shutdownHook);
 		}
 		catch (IllegalStateException ex) {
 			// The JVM is shutting down, and the hook runs or has run.
--- a/standin/src/main/java/org/fulmargap/standin/ClusterOptions.java
+++ b/standin/src/main/java/org/fulmargap/standin/ClusterOptions.java
@@ -8,22 +8,22 @@
  *
  * @param failureDomains the names of the failure domains
  * @param vmsPerDomain the number of entry VMs in each failure domain
- * @param services the services, each with one endpoint per failure domain
+ * @param services the names of the services, each with one endpoint per failure domain
  * @param serverCommand the command that starts an entry VM, without its settings
- * @param templates the folder with the templates of settings and patches
- * @param workFolder the folder for settings files and logs
- * @param platform the options of the platform; its ports are chosen by the cluster
- * @param endpoint the options of each endpoint; name and port are chosen by the cluster
+ * @param templates the directory with the templates of settings and patches
+ * @param workDirectory the directory for settings files and logs
+ * @param platform the options of the platform; the cluster chooses its ports
+ * @param endpoint the options of each endpoint; the cluster chooses name and port
  */
 public record ClusterOptions(List<String> failureDomains, int vmsPerDomain, List<String> services,
-		List<String> serverCommand, Path templates, Path workFolder, PlatformStandIn.Options platform,
+		List<String> serverCommand, Path templates, Path workDirectory, PlatformStandIn.Options platform,
 		EndpointOptions endpoint) {
 
-	/** The services that the templates of this project's pipelines name. */
+	/** The services that the pipelines of the templates use. */
 	public static final List<String> SERVICES = List.of("encoder", "retriever", "reranker", "generator", "labels");
 
 	/**
-	 * Copies the lists.
+	 * Copies the lists and checks the size.
 	 */
 	public ClusterOptions {
 		failureDomains = List.copyOf(failureDomains);
@@ -37,13 +37,13 @@
 	/**
 	 * Returns the options for three failure domains with two entry VMs each.
 	 * @param serverCommand the command that starts an entry VM, without its settings
-	 * @param templates the folder with the templates of settings and patches
-	 * @param workFolder the folder for settings files and logs
+	 * @param templates the directory with the templates of settings and patches
+	 * @param workDirectory the directory for settings files and logs
 	 * @return the options
 	 */
-	public static ClusterOptions threeDomains(List<String> serverCommand, Path templates, Path workFolder) {
+	public static ClusterOptions threeDomains(List<String> serverCommand, Path templates, Path workDirectory) {
 		return new ClusterOptions(List.of("bog-norte", "bog-centro", "bog-sur"), 2, SERVICES, serverCommand, templates,
-				workFolder, PlatformStandIn.Options.defaults(), EndpointOptions.warm("", 0));
+				workDirectory, PlatformStandIn.Options.defaults(), EndpointOptions.warm("", 0));
 	}
 
 }
--- a/standin/src/main/java/org/fulmargap/standin/Conditions.java
+++ b/standin/src/main/java/org/fulmargap/standin/Conditions.java
@@ -6,25 +6,25 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Waits for conditions of other processes.
+ * Waits for conditions that other processes fulfil.
  */
 public final class Conditions {
 
 	private static final long POLL_NS = TimeUnit.MILLISECONDS.toNanos(20);
 
-	private static final long LIMIT_NS = TimeUnit.SECONDS.toNanos(60);
+	private static final long TIMEOUT_NS = TimeUnit.SECONDS.toNanos(60);
 
 	private Conditions() {
 	}
 
 	/**
 	 * Waits until a condition holds.
-	 * @param what what is waited for, for the error message
+	 * @param description the condition in words, for the error message
 	 * @param condition the condition; an {@link IOException} counts as not fulfilled
 	 * @throws Exception if the condition throws or does not hold within 60 s
 	 */
-	public static void await(String what, Callable<Boolean> condition) throws Exception {
-		long endNs = System.nanoTime() + LIMIT_NS;
+	public static void await(String description, Callable<Boolean> condition) throws Exception {
+		long endNs = System.nanoTime() + TIMEOUT_NS;
 		while (System.nanoTime() < endNs) {
 			try {
 				if (condition.call()) {
@@ -32,11 +32,11 @@
 				}
 			}
 			catch (IOException ex) {
-				// The process is not there yet, or not any more.
+				// The process does not respond; it is starting or has stopped.
 			}
 			LockSupport.parkNanos(POLL_NS);
 		}
-		throw new IllegalStateException("timed out waiting for " + what);
+		throw new IllegalStateException("timed out waiting for " + description);
 	}
 
 }
--- a/standin/src/main/java/org/fulmargap/standin/EntryVm.java
+++ b/standin/src/main/java/org/fulmargap/standin/EntryVm.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One entry VM that runs as its own process.
+ * Entry VM that runs as a process of its own.
  */
 public final class EntryVm implements AutoCloseable {
 
@@ -27,18 +27,18 @@
 
 	private final List<String> command;
 
-	private final File log;
+	private final File logFile;
 
 	private Process process;
 
-	EntryVm(String name, String failureDomain, int[] ports, List<String> command, Path log) {
+	EntryVm(String name, String failureDomain, int[] ports, List<String> command, Path logFile) {
 		this.name = name;
 		this.failureDomain = failureDomain;
 		this.callerPort = ports[0];
 		this.adminPort = ports[1];
 		this.peerPort = ports[2];
 		this.command = List.copyOf(command);
-		this.log = log.toFile();
+		this.logFile = logFile.toFile();
 	}
 
 	/**
@@ -58,7 +58,7 @@
 	}
 
 	/**
-	 * Returns the base URL for callers.
+	 * Returns the base URL for clients.
 	 * @return a URL without a final slash
 	 */
 	public String callerUrl() {
@@ -75,7 +75,7 @@
 
 	/**
 	 * Returns the address for operators.
-	 * @return the IP address and port
+	 * @return the IP address and port, joined by a colon
 	 */
 	public String adminAddress() {
 		return "127.0.0.1:" + this.adminPort;
@@ -95,7 +95,7 @@
 	 */
 	public void start() throws IOException {
 		ProcessBuilder builder = new ProcessBuilder(this.command);
-		builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(this.log));
+		builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(this.logFile));
 		this.process = builder.start();
 	}
 
@@ -108,15 +108,15 @@
 	}
 
 	/**
-	 * Tells whether the process runs.
-	 * @return {@code true} until it has ended
+	 * Returns whether the process runs.
+	 * @return {@code true} if it has been started and has not ended
 	 */
 	public boolean isAlive() {
 		return this.process != null && this.process.isAlive();
 	}
 
 	/**
-	 * Kills the process with SIGKILL and waits for its end.
+	 * Kills the process with SIGKILL and waits until it has ended.
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	public void kill() throws InterruptedException {
@@ -124,15 +124,15 @@
 	}
 
 	/**
-	 * Asks the process with SIGTERM to end.
+	 * Sends SIGTERM to the process, without waiting for its end.
 	 */
 	public void terminate() {
 		this.process.destroy();
 	}
 
 	/**
-	 * Waits for the end of the process.
-	 * @param timeoutMs the longest time to wait in milliseconds
+	 * Waits until the process has ended.
+	 * @param timeoutMs the maximum wait in milliseconds
 	 * @return {@code true} if the process has ended
 	 * @throws InterruptedException if the thread is interrupted
 	 */
@@ -141,20 +141,20 @@
 	}
 
 	/**
-	 * Freezes the process with SIGSTOP.
+	 * Pauses the process with SIGSTOP.
 	 * @throws IOException if the signal cannot be sent
 	 * @throws InterruptedException if the thread is interrupted
 	 */
-	public void freeze() throws IOException, InterruptedException {
+	public void pause() throws IOException, InterruptedException {
 		signal("STOP");
 	}
 
 	/**
-	 * Lets a frozen process continue with SIGCONT.
+	 * Resumes a paused process with SIGCONT.
 	 * @throws IOException if the signal cannot be sent
 	 * @throws InterruptedException if the thread is interrupted
 	 */
-	public void thaw() throws IOException, InterruptedException {
+	public void resume() throws IOException, InterruptedException {
 		signal("CONT");
 	}
 
@@ -162,17 +162,17 @@
 		List<String> kill = List.of("/bin/sh", "-c", "kill -" + signal + " " + pid());
 		Process sender = new ProcessBuilder(kill).redirectErrorStream(true).start();
 		if (!sender.waitFor(SIGNAL_TIMEOUT_SECONDS, TimeUnit.SECONDS) || sender.exitValue() != 0) {
-			throw new IOException("signal " + signal + " could not be sent to process " + pid());
+			throw new IOException("failed to send signal " + signal + " to process " + pid());
 		}
 	}
 
 	/**
-	 * Returns what the process has written.
-	 * @return the text of its log
+	 * Returns the output of the process, of all starts.
+	 * @return the text of its log file, empty if there is none
 	 * @throws IOException if the log cannot be read
 	 */
 	public String output() throws IOException {
-		return this.log.exists() ? Files.readString(this.log.toPath(), StandardCharsets.UTF_8) : "";
+		return this.logFile.exists() ? Files.readString(this.logFile.toPath(), StandardCharsets.UTF_8) : "";
 	}
 
 	@Override
--- a/standin/src/main/java/org/fulmargap/standin/LoopbackClient.java
+++ b/standin/src/main/java/org/fulmargap/standin/LoopbackClient.java
@@ -24,8 +24,8 @@
 import okhttp3.Response;
 
 /**
- * HTTP client that refuses targets outside the loopback addresses. It sends each request
- * once: lost answers are reported, never repeated behind the caller's back.
+ * HTTP client that refuses targets other than loopback addresses. It sends each request
+ * once and reports lost responses as failures; it does not retry.
  */
 public final class LoopbackClient implements AutoCloseable {
 
@@ -35,8 +35,8 @@
 
 	/**
 	 * Creates a client.
-	 * @param timeout the time after which a call fails
-	 * @param maxConcurrent the highest number of asynchronous calls at the same time
+	 * @param timeout the time after which a request fails
+	 * @param maxConcurrent the maximum number of asynchronous requests in flight
 	 */
 	public LoopbackClient(Duration timeout, int maxConcurrent) {
 		Dispatcher dispatcher = new Dispatcher();
@@ -71,13 +71,13 @@
 	}
 
 	/**
-	 * Sends a request and waits for the answer.
+	 * Sends a request and waits for the response.
 	 * @param method the HTTP method
 	 * @param url the URL
 	 * @param headers the headers
 	 * @param body the JSON body, or {@code null} for none
-	 * @return the answer, whatever its status
-	 * @throws IOException if there is no whole answer
+	 * @return the response, of any status
+	 * @throws IOException if there is no complete response
 	 */
 	public Answer send(String method, String url, Map<String, String> headers, Object body) throws IOException {
 		try (Response response = call(method, url, headers, body).execute()) {
@@ -86,24 +86,25 @@
 	}
 
 	/**
-	 * Sends a request without headers and waits for the answer.
+	 * Sends a request without headers and waits for the response.
 	 * @param method the HTTP method
 	 * @param url the URL
 	 * @param body the JSON body, or {@code null} for none
-	 * @return the answer, whatever its status
-	 * @throws IOException if there is no whole answer
+	 * @return the response, of any status
+	 * @throws IOException if there is no complete response
 	 */
 	public Answer send(String method, String url, Object body) throws IOException {
 		return send(method, url, Map.of(), body);
 	}
 
 	/**
-	 * Sends a request without waiting.
+	 * Sends a request without waiting for the response.
 	 * @param method the HTTP method
 	 * @param url the URL
 	 * @param headers the headers
 	 * @param body the JSON body, or {@code null} for none
-	 * @return a future with the answer, or with the {@link IOException} if there is none
+	 * @return a future with the response, or with the {@link IOException} if there is no
+	 * complete response
 	 */
 	public CompletableFuture<Answer> sendAsync(String method, String url, Map<String, String> headers, Object body) {
 		CompletableFuture<Answer> future = new CompletableFuture<>();
@@ -134,7 +135,7 @@
 			.build());
 	}
 
-	/** Closes the connections that are idle now. */
+	/** Closes the idle connections. */
 	public void closeIdleConnections() {
 		this.client.connectionPool().evictAll();
 	}
@@ -148,10 +149,10 @@
 	}
 
 	/**
-	 * A whole HTTP answer.
+	 * A complete HTTP response.
 	 *
 	 * @param status the HTTP status
-	 * @param headers the headers, by lower-case name
+	 * @param headers the headers; names are not case-sensitive
 	 * @param body the body as text
 	 */
 	public record Answer(int status, Map<String, String> headers, String body) {
@@ -172,8 +173,8 @@
 		}
 
 		/**
-		 * Returns the failure type of an error answer.
-		 * @return the type, or an empty string if the body names none
+		 * Returns the type of an error response.
+		 * @return the type, or an empty string if the body contains none
 		 */
 		public String errorType() {
 			try {
--- a/standin/src/main/java/org/fulmargap/standin/Templates.java
+++ b/standin/src/main/java/org/fulmargap/standin/Templates.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * Fills templates of settings and patches.
+ * Fills in the templates of settings and patches.
  */
 final class Templates {
 
