--- a/standin/src/main/java/org/fulmargap/standin/ControlCostCommand.java
+++ b/standin/src/main/java/org/fulmargap/standin/ControlCostCommand.java
@@ -13,15 +13,15 @@
 import picocli.CommandLine.Option;
 
 /**
- * Measures what an entry VM spends on control while it serves no requests: processor
- * time, memory and bytes on the loopback interface, at several numbers of entry VMs and
+ * Measures the control-plane overhead of an entry VM that serves no requests: CPU time,
+ * memory and bytes on the loopback interface, for several numbers of entry VMs and
  * endpoints.
  */
 @Command(name = "control-cost", mixinStandardHelpOptions = true,
-		description = "Measures processor time, memory and traffic of idle entry VMs.")
+		description = "Measures CPU time, memory and network traffic of idle entry VMs.")
 final class ControlCostCommand implements Callable<Integer> {
 
-	/** Ticks of the processor time in /proc, a constant of the kernel's interface. */
+	/** Unit of the CPU times in /proc (USER_HZ), a constant of the kernel interface. */
 	private static final double TICKS_PER_SECOND = 100;
 
 	private static final int UTIME_FIELD = 11;
@@ -31,11 +31,11 @@
 	@Option(names = "--root", required = true, description = "Root of the repository.")
 	private Path root;
 
-	@Option(names = "--seconds", defaultValue = "10", description = "Length of one reading.")
+	@Option(names = "--seconds", defaultValue = "10", description = "Length of a measurement in seconds.")
 	private int seconds;
 
 	@Option(names = "--warm-up-seconds", defaultValue = "60",
-			description = "Time between start and reading, in which the JVM compiles the code.")
+			description = "Time in seconds between start and measurement, in which the JVM compiles the code.")
 	private int warmUpSeconds;
 
 	@Option(names = "--vms-per-domain", split = ",", defaultValue = "1,2,4",
@@ -58,23 +58,23 @@
 	}
 
 	private void measure(int vms, int endpointCount) throws Exception {
-		Path workFolder = Files.createTempDirectory("fulmargap-control-cost");
+		Path workDirectory = Files.createTempDirectory("fulmargap-control-cost");
 		ClusterOptions base = ClusterOptions.threeDomains(List.of(this.root.resolve("bin/fulmargapd").toString()),
-				this.root.resolve("config"), workFolder);
+				this.root.resolve("config"), workDirectory);
 		ClusterOptions options = new ClusterOptions(base.failureDomains(), vms, base.services(), base.serverCommand(),
-				base.templates(), workFolder, base.platform(), base.endpoint());
+				base.templates(), workDirectory, base.platform(), base.endpoint());
 		try (Cluster cluster = new Cluster(options)) {
 			cluster.start();
 			cluster.patch(cluster.vms().get(0), cluster.firstPatch());
 			cluster.awaitVersion(1);
 			if (endpointCount > cluster.endpointNames().size()) {
-				cluster.patch(cluster.vms().get(0), moreEndpoints(cluster, endpointCount));
+				cluster.patch(cluster.vms().get(0), additionalEndpoints(cluster, endpointCount));
 				cluster.awaitVersion(2);
 			}
 			TimeUnit.SECONDS.sleep(this.warmUpSeconds);
-			Reading before = Reading.take(cluster);
+			UsageSample before = UsageSample.take(cluster);
 			TimeUnit.SECONDS.sleep(this.seconds);
-			Reading after = Reading.take(cluster);
+			UsageSample after = UsageSample.take(cluster);
 			int count = cluster.vms().size();
 			double elapsed = (after.atNanos() - before.atNanos()) / 1e9;
 			System.out.printf(Locale.ROOT,
@@ -85,9 +85,9 @@
 		}
 	}
 
-	// Further names for the endpoints that run: each name is polled as an endpoint of its
-	// own.
-	private static String moreEndpoints(Cluster cluster, int count) {
+	// Adds endpoint names with the URLs of running endpoints. Entry VMs poll each name
+	// as an endpoint of its own.
+	private static String additionalEndpoints(Cluster cluster, int count) {
 		ObjectNode patch = Json.MAPPER.createObjectNode();
 		ObjectNode added = patch.putObject("endpoints");
 		List<String> names = cluster.endpointNames();
@@ -102,28 +102,28 @@
 	}
 
 	/**
-	 * Totals over all entry VMs at one time.
+	 * Totals of all entry VMs at a point in time.
 	 *
-	 * @param atNanos when the reading was taken
-	 * @param cpuSeconds processor time
-	 * @param rssKib resident memory
-	 * @param bytes bytes sent over the loopback interface by all processes
+	 * @param atNanos the point in time, as of {@link System#nanoTime()}
+	 * @param cpuSeconds the CPU time in seconds
+	 * @param rssKib the resident memory in KiB
+	 * @param bytes the bytes that all processes sent over the loopback interface
 	 */
-	private record Reading(long atNanos, double cpuSeconds, long rssKib, long bytes) {
+	private record UsageSample(long atNanos, double cpuSeconds, long rssKib, long bytes) {
 
-		static Reading take(Cluster cluster) throws IOException {
+		static UsageSample take(Cluster cluster) throws IOException {
 			double cpu = 0;
 			long rss = 0;
 			for (EntryVm vm : cluster.vms()) {
 				String stat = Files.readString(Path.of("/proc", Long.toString(vm.pid()), "stat"));
 				String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
 				cpu += (Long.parseLong(fields[UTIME_FIELD]) + Long.parseLong(fields[STIME_FIELD])) / TICKS_PER_SECOND;
-				rss += number(Path.of("/proc", Long.toString(vm.pid()), "status"), "VmRSS:", 1);
+				rss += readNumber(Path.of("/proc", Long.toString(vm.pid()), "status"), "VmRSS:", 1);
 			}
-			return new Reading(System.nanoTime(), cpu, rss, number(Path.of("/proc/net/dev"), "lo:", 9));
+			return new UsageSample(System.nanoTime(), cpu, rss, readNumber(Path.of("/proc/net/dev"), "lo:", 9));
 		}
 
-		private static long number(Path file, String label, int index) throws IOException {
+		private static long readNumber(Path file, String label, int index) throws IOException {
 			for (String line : Files.readAllLines(file)) {
 				String[] fields = line.strip().split("\\s+");
 				if (fields[0].equals(label)) {
--- a/standin/src/main/java/org/fulmargap/standin/Demo.java
+++ b/standin/src/main/java/org/fulmargap/standin/Demo.java
@@ -14,28 +14,28 @@
 import org.fulmargap.standin.LoopbackClient.Answer;
 
 /**
- * The steps of the demo, each with a check.
+ * Runs the steps of the demo and checks the result of each.
  */
 final class Demo {
 
-	private static final String READ = "price-explanation";
+	private static final String READ_PIPELINE = "price-explanation";
 
-	private static final String ACTION = "label-push";
+	private static final String ACTION_PIPELINE = "label-push";
 
-	private static final String OUT_DOMAIN = "bog-centro";
+	private static final String DOMAIN_TAKEN_OUT = "bog-centro";
 
 	private static final int REQUESTS_PER_STEP = 20;
 
 	private static final long CLI_TIMEOUT_SECONDS = 20;
 
-	/** P3 promises that a failure domain gets no new work after a few seconds. */
-	private static final long OUT_AFTER_NS = TimeUnit.SECONDS.toNanos(3);
+	/** Guarantee P3: a domain taken out gets no new work after a few seconds. */
+	private static final long OUT_GRACE_NS = TimeUnit.SECONDS.toNanos(3);
 
 	private final Cluster cluster;
 
 	private final Path cli;
 
-	private final Path workFolder;
+	private final Path workDirectory;
 
 	private final PrintStream out;
 
@@ -43,16 +43,16 @@
 
 	private long stepStartedNs = System.nanoTime();
 
-	Demo(Cluster cluster, Path cli, Path workFolder, PrintStream out) {
+	Demo(Cluster cluster, Path cli, Path workDirectory, PrintStream out) {
 		this.cluster = cluster;
 		this.cli = cli;
-		this.workFolder = workFolder;
+		this.workDirectory = workDirectory;
 		this.out = out;
 	}
 
 	/**
 	 * Runs all steps and prints the table.
-	 * @return {@code true} if everything was as promised
+	 * @return {@code true} if all results were as expected
 	 * @throws Exception if a step could not be carried out
 	 */
 	boolean run() throws Exception {
@@ -65,7 +65,7 @@
 		secondPatch(centro);
 		takeOut(norte);
 		bringBack(norte);
-		killOne(centro);
+		killEntryVm(centro);
 		timeline(requestId);
 		return printTable();
 	}
@@ -87,7 +87,7 @@
 	}
 
 	private void patch(EntryVm vm, String name, String text) throws Exception {
-		Path file = this.workFolder.resolve(name + ".json");
+		Path file = this.workDirectory.resolve(name + ".json");
 		Files.writeString(file, text);
 		cli(vm, "patch", "--expected-version", Long.toString(version(vm)), "--file", file.toString());
 	}
@@ -98,7 +98,7 @@
 
 	private String read(EntryVm vm) throws Exception {
 		String input = "Why does panela cost 4,200 pesos this week in store 12?";
-		Answer answer = answer(this.cluster.request(vm, READ, null, input));
+		Answer answer = answer(this.cluster.request(vm, READ_PIPELINE, null, input));
 		JsonNode body = answer.json();
 		String output = body.path("output").asText();
 		this.out.println("answer=" + output);
@@ -110,45 +110,47 @@
 
 	private void actionTwice(EntryVm first, EntryVm second) throws Exception {
 		String key = "demo-push-1";
-		Answer one = answer(this.cluster.request(first, ACTION, key, "label 77"));
-		Answer two = answer(this.cluster.request(second, ACTION, key, "label 77"));
+		Answer firstAnswer = answer(this.cluster.request(first, ACTION_PIPELINE, key, "label 77"));
+		Answer secondAnswer = answer(this.cluster.request(second, ACTION_PIPELINE, key, "label 77"));
 		int executions = this.cluster.executionsOfKey(key);
-		boolean same = one.json().path("output").equals(two.json().path("output"));
-		check("action twice with one key", first.name() + " " + one.status() + ", " + second.name() + " " + two.status()
-				+ ", executions " + executions, one.status() == 200 && two.status() == 200 && same && executions == 1);
+		boolean same = firstAnswer.json().path("output").equals(secondAnswer.json().path("output"));
+		check("action twice with the same key",
+				first.name() + " " + firstAnswer.status() + ", " + second.name() + " " + secondAnswer.status()
+						+ ", executions " + executions,
+				firstAnswer.status() == 200 && secondAnswer.status() == 200 && same && executions == 1);
 	}
 
 	private void takeOut(EntryVm vm) throws Exception {
 		long startNs = System.nanoTime();
-		cli(vm, "take-out", "failure-domain", OUT_DOMAIN);
-		Conditions.await("3 s after the order", () -> System.nanoTime() - startNs > OUT_AFTER_NS);
-		int before = this.cluster.executionsIn(OUT_DOMAIN);
-		int answered = readOnAll();
-		int newWork = this.cluster.executionsIn(OUT_DOMAIN) - before;
-		check("failure domain " + OUT_DOMAIN + " out",
-				answered + " of " + REQUESTS_PER_STEP + " answered, new work there " + newWork,
+		cli(vm, "take-out", "failure-domain", DOMAIN_TAKEN_OUT);
+		Conditions.await("3 s after the order", () -> System.nanoTime() - startNs > OUT_GRACE_NS);
+		int before = this.cluster.executionsIn(DOMAIN_TAKEN_OUT);
+		int answered = readOnRunningVms();
+		int newWork = this.cluster.executionsIn(DOMAIN_TAKEN_OUT) - before;
+		check("failure domain " + DOMAIN_TAKEN_OUT + " out",
+				answered + " of " + REQUESTS_PER_STEP + " answered, new work in the domain " + newWork,
 				answered == REQUESTS_PER_STEP && newWork == 0);
 	}
 
 	private void bringBack(EntryVm vm) throws Exception {
-		cli(vm, "bring-back", "failure-domain", OUT_DOMAIN);
-		int before = this.cluster.executionsIn(OUT_DOMAIN);
+		cli(vm, "bring-back", "failure-domain", DOMAIN_TAKEN_OUT);
+		int before = this.cluster.executionsIn(DOMAIN_TAKEN_OUT);
 		int[] sent = new int[2];
-		Conditions.await("work in " + OUT_DOMAIN, () -> {
+		Conditions.await("work in " + DOMAIN_TAKEN_OUT, () -> {
 			sent[0] += REQUESTS_PER_STEP;
-			sent[1] += readOnAll();
-			return this.cluster.executionsIn(OUT_DOMAIN) > before;
+			sent[1] += readOnRunningVms();
+			return this.cluster.executionsIn(DOMAIN_TAKEN_OUT) > before;
 		});
-		check("failure domain " + OUT_DOMAIN + " back", sent[1] + " of " + sent[0] + " answered, it gets work again",
-				sent[1] == sent[0]);
+		check("failure domain " + DOMAIN_TAKEN_OUT + " back",
+				sent[1] + " of " + sent[0] + " answered, receives work again", sent[1] == sent[0]);
 	}
 
-	private void killOne(EntryVm vm) throws Exception {
+	private void killEntryVm(EntryVm vm) throws Exception {
 		long pid = vm.pid();
 		vm.kill();
-		int answered = readOnAll();
+		int answered = readOnRunningVms();
 		String key = "demo-push-2";
-		Answer action = answer(this.cluster.request(this.cluster.vm("bog-centro-2"), ACTION, key, "label 78"));
+		Answer action = answer(this.cluster.request(this.cluster.vm("bog-centro-2"), ACTION_PIPELINE, key, "label 78"));
 		int executions = this.cluster.executionsOfKey(key);
 		check("kill -9 " + vm.name() + " (process " + pid + ")", answered + " of " + REQUESTS_PER_STEP
 				+ " answered, action " + action.status() + ", executions " + executions,
@@ -156,16 +158,17 @@
 	}
 
 	/**
-	 * Sends reads to all VMs that run, one after the other.
-	 * @return the number of whole answers to the right request
-	 * @throws Exception if an answer cannot be parsed
+	 * Sends idempotent requests to the running VMs in turn, one at a time.
+	 * @return the number of complete responses that belong to their request
+	 * @throws Exception if a response is missing or cannot be parsed
 	 */
-	private int readOnAll() throws Exception {
+	private int readOnRunningVms() throws Exception {
 		List<EntryVm> running = this.cluster.vms().stream().filter(EntryVm::isAlive).toList();
 		int answered = 0;
 		for (int number = 0; number < REQUESTS_PER_STEP; number++) {
 			String input = "Explain price " + number;
-			Answer answer = answer(this.cluster.request(running.get(number % running.size()), READ, null, input));
+			Answer answer = answer(
+					this.cluster.request(running.get(number % running.size()), READ_PIPELINE, null, input));
 			if (answer.status() == 200 && StageOutput.belongsTo(answer.json().path("output").asText(), input)) {
 				answered++;
 			}
@@ -187,7 +190,7 @@
 		String lines = run(arguments);
 		this.out.println("timeline of request " + requestId + ":");
 		lines.lines().forEach((line) -> this.out.println("  " + line));
-		check("merged time line", lines.lines().count() + " events",
+		check("merged timeline", lines.lines().count() + " events",
 				lines.contains(requestId) && lines.contains("REQUEST_ANSWERED") && lines.contains("STAGE_ANSWERED"));
 	}
 
@@ -204,22 +207,22 @@
 	private String run(List<String> arguments) throws Exception {
 		List<String> command = new ArrayList<>(List.of(this.cli.toString()));
 		command.addAll(arguments);
-		Path output = this.workFolder.resolve("fulmargapctl.out");
+		Path output = this.workDirectory.resolve("fulmargapctl.out");
 		Process process = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(output.toFile()).start();
 		if (!process.waitFor(CLI_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
 			process.destroyForcibly();
-			throw new IOException("timed out: " + command);
+			throw new IOException("command timed out: " + command);
 		}
 		String text = Files.readString(output, StandardCharsets.UTF_8);
 		if (process.exitValue() != 0) {
-			throw new IOException(command + " ended with " + process.exitValue() + ": " + text);
+			throw new IOException(command + " exited with status " + process.exitValue() + ": " + text);
 		}
 		return text;
 	}
 
-	private void check(String step, String result, boolean asPromised) {
+	private void check(String step, String result, boolean asExpected) {
 		long nowNs = System.nanoTime();
-		this.rows.add(new Row(step, result, (nowNs - this.stepStartedNs) / 1_000_000 + " ms", asPromised));
+		this.rows.add(new Row(step, result, (nowNs - this.stepStartedNs) / 1_000_000 + " ms", asExpected));
 		this.stepStartedNs = nowNs;
 	}
 
@@ -228,21 +231,21 @@
 		int resultWidth = this.rows.stream().mapToInt((row) -> row.result().length()).max().orElse(0);
 		String format = "%-" + stepWidth + "s  %-" + resultWidth + "s  %9s  %s%n";
 		this.out.println();
-		this.out.printf(format, "step", "result", "took", "as promised");
+		this.out.printf(format, "step", "result", "took", "as expected");
 		this.rows.forEach((row) -> this.out.printf(format, row.step(), row.result(), row.took(),
-				row.asPromised() ? "yes" : "NO"));
-		return this.rows.stream().allMatch(Row::asPromised);
+				row.asExpected() ? "yes" : "NO"));
+		return this.rows.stream().allMatch(Row::asExpected);
 	}
 
 	/**
-	 * One line of the table.
+	 * Row of the table.
 	 *
-	 * @param step what was done
-	 * @param result what happened
-	 * @param took how long it took
-	 * @param asPromised whether that is what fulmargap promises
+	 * @param step the step
+	 * @param result the observed result
+	 * @param took the duration of the step
+	 * @param asExpected whether the result is as expected
 	 */
-	private record Row(String step, String result, String took, boolean asPromised) {
+	private record Row(String step, String result, String took, boolean asExpected) {
 	}
 
 }
--- a/standin/src/main/java/org/fulmargap/standin/DemoCommand.java
+++ b/standin/src/main/java/org/fulmargap/standin/DemoCommand.java
@@ -15,14 +15,14 @@
 import picocli.CommandLine.Option;
 
 /**
- * Runs the demo and leaves no process behind.
+ * Runs the demo and ends all its processes.
  */
 @Command(name = "demo", mixinStandardHelpOptions = true,
-		description = "Starts stand-ins and entry VMs of three failure domains and shows the promises at work.")
+		description = "Starts stand-ins and entry VMs of three failure domains and checks the guarantees.")
 final class DemoCommand implements Callable<Integer> {
 
-	/** Exit code of a demo in which something was not as promised. */
-	private static final int EXIT_BROKEN = 1;
+	/** Exit code of a demo with an unexpected result. */
+	private static final int EXIT_UNEXPECTED_RESULT = 1;
 
 	@Option(names = "--root", required = true, description = "Root of the repository.")
 	private Path root;
@@ -33,33 +33,34 @@
 	@Override
 	public Integer call() throws Exception {
 		PrintStream out = System.out;
-		Path workFolder = Files.createTempDirectory("fulmargap-demo");
+		Path workDirectory = Files.createTempDirectory("fulmargap-demo");
 		Cluster cluster = new Cluster(ClusterOptions.threeDomains(
-				List.of(this.root.resolve("bin/fulmargapd").toString()), this.root.resolve("config"), workFolder));
-		boolean asPromised = false;
+				List.of(this.root.resolve("bin/fulmargapd").toString()), this.root.resolve("config"), workDirectory));
+		boolean asExpected = false;
 		try {
 			cluster.start();
-			asPromised = new Demo(cluster, this.root.resolve("bin/fulmargapctl"), workFolder, out).run();
+			asExpected = new Demo(cluster, this.root.resolve("bin/fulmargapctl"), workDirectory, out).run();
 			if (this.keep) {
 				restartEnded(cluster);
 				printUrls(cluster, out);
 				new CountDownLatch(1).await();
 			}
-			asPromised &= stop(cluster, out);
+			asExpected &= stop(cluster, out);
 		}
 		finally {
 			cluster.close();
-			if (asPromised) {
-				delete(workFolder);
+			if (asExpected) {
+				delete(workDirectory);
 			}
 			else {
-				out.println("settings and logs are kept in " + workFolder);
+				out.println("settings and logs are kept in " + workDirectory);
 			}
 		}
-		return asPromised ? 0 : EXIT_BROKEN;
+		return asExpected ? 0 : EXIT_UNEXPECTED_RESULT;
 	}
 
-	// The demo killed an entry VM. While a member is missing, every patch is refused.
+	// Restarts the entry VM that the demo killed: while a member is missing, every patch
+	// is refused.
 	private static void restartEnded(Cluster cluster) throws Exception {
 		for (EntryVm vm : cluster.vms()) {
 			if (!vm.isAlive()) {
@@ -98,8 +99,8 @@
 				+ cluster.vms().get(0).callerUrl() + "/v1/pipelines/price-explanation/requests");
 	}
 
-	private static void delete(Path folder) throws IOException {
-		try (Stream<Path> paths = Files.walk(folder)) {
+	private static void delete(Path directory) throws IOException {
+		try (Stream<Path> paths = Files.walk(directory)) {
 			paths.sorted(Comparator.reverseOrder()).forEach((path) -> {
 				try {
 					Files.delete(path);
--- a/standin/src/main/java/org/fulmargap/standin/EndpointCommand.java
+++ b/standin/src/main/java/org/fulmargap/standin/EndpointCommand.java
@@ -10,14 +10,14 @@
 import picocli.CommandLine.Option;
 
 /**
- * Serves endpoint stand-ins until the process is ended.
+ * Runs endpoint stand-ins until the process is terminated.
  */
 @Command(name = "endpoint", mixinStandardHelpOptions = true,
-		description = "Serves one or more endpoints on the loopback address.")
+		description = "Runs stand-ins of one or more endpoints on the loopback address.")
 final class EndpointCommand implements Callable<Integer> {
 
 	@Option(names = "--endpoint", required = true, paramLabel = "NAME=PORT",
-			description = "An endpoint and its port; repeat it for several.")
+			description = "Name and port of an endpoint; repeat it for several.")
 	private Map<String, Integer> endpoints;
 
 	@Option(names = "--max-concurrency", defaultValue = "32")
@@ -29,7 +29,7 @@
 	@Option(names = "--initial-capacity", defaultValue = "4", description = "Capacity when cold.")
 	private int initialCapacity;
 
-	@Option(names = "--doubling-ms", defaultValue = "1000", description = "Work after which the capacity doubles.")
+	@Option(names = "--doubling-ms", defaultValue = "1000", description = "Busy time after which the capacity doubles.")
 	private long doublingMs;
 
 	@Option(names = "--when-cold-overloaded", defaultValue = "FAIL", description = "${COMPLETION-CANDIDATES}")
@@ -44,7 +44,8 @@
 	@Option(names = "--token-ms", defaultValue = "1")
 	private long tokenMs;
 
-	@Option(names = "--cache-blocks", defaultValue = "4096", description = "Cached prefix blocks of 16 tokens.")
+	@Option(names = "--cache-blocks", defaultValue = "4096",
+			description = "Size of the prefix cache in blocks of 16 tokens.")
 	private int cacheBlocks;
 
 	@Option(names = "--load-lag-ms", defaultValue = "50")
--- a/standin/src/main/java/org/fulmargap/standin/LoadCommand.java
+++ b/standin/src/main/java/org/fulmargap/standin/LoadCommand.java
@@ -7,16 +7,17 @@
 import picocli.CommandLine.Option;
 
 /**
- * Runs the load tool and prints its result as key=value lines.
+ * Runs the {@link LoadTool} and prints its result as key=value lines.
  */
 @Command(name = "load", mixinStandardHelpOptions = true,
-		description = "Sends requests to entry VMs on the loopback address; ends with 1 if a promise was broken.")
+		description = "Sends requests to entry VMs on the loopback address; exits with 1 if a guarantee was violated.")
 final class LoadCommand implements Callable<Integer> {
 
 	@Option(names = "--entry", required = true, paramLabel = "URL", description = "Entry VM; repeat it for several.")
 	private List<String> entryUrls;
 
-	@Option(names = "--endpoint", paramLabel = "URL", description = "Endpoint stand-in whose counts are checked.")
+	@Option(names = "--endpoint", paramLabel = "URL",
+			description = "Endpoint stand-in whose executions are checked; repeat it for several.")
 	private List<String> endpointUrls = List.of();
 
 	@Option(names = "--api-key", required = true)
@@ -34,10 +35,10 @@
 	@Option(names = "--rate", defaultValue = "50", description = "Requests per second.")
 	private double ratePerSecond;
 
-	@Option(names = "--count", defaultValue = "1000", description = "Highest number of requests.")
+	@Option(names = "--count", defaultValue = "1000", description = "Maximum number of requests.")
 	private int maxCount;
 
-	@Option(names = "--seconds", defaultValue = "30", description = "Longest time of sending.")
+	@Option(names = "--seconds", defaultValue = "30", description = "Maximum time of sending, in seconds.")
 	private int maxSeconds;
 
 	@Option(names = "--deadline-ms", defaultValue = "5000")
@@ -49,7 +50,8 @@
 	@Option(names = "--seed", defaultValue = "1")
 	private long seed;
 
-	@Option(names = "--run-id", description = "Prefix of idempotency keys; by default taken from the clock.")
+	@Option(names = "--run-id",
+			description = "Prefix of the idempotency keys; by default derived from the current time.")
 	private String runId = "load-" + Long.toString(System.currentTimeMillis(), 36);
 
 	@Override
@@ -60,7 +62,7 @@
 			.run();
 		System.out.println("seed=" + this.seed + "\nrun_id=" + this.runId);
 		System.out.println(result);
-		return result.isSound() ? 0 : 1;
+		return result.isCorrect() ? 0 : 1;
 	}
 
 }
--- a/standin/src/main/java/org/fulmargap/standin/LoadOptions.java
+++ b/standin/src/main/java/org/fulmargap/standin/LoadOptions.java
@@ -3,21 +3,22 @@
 import java.util.List;
 
 /**
- * Options of a load run.
+ * Options of a run of the {@link LoadTool}.
  *
  * @param entryUrls the base URLs of the entry VMs' caller addresses
- * @param endpointUrls the base URLs of the endpoint stand-ins that count executions
- * @param apiKey the bearer key of the client account
- * @param readPipeline the idempotent pipeline
- * @param actionPipeline the non-idempotent pipeline
+ * @param endpointUrls the base URLs of the endpoint stand-ins whose executions are read;
+ * empty to check no executions
+ * @param apiKey the API key of the client account, sent as bearer token
+ * @param readPipeline the name of the idempotent pipeline
+ * @param actionPipeline the name of the non-idempotent pipeline
  * @param actionShare the share of non-idempotent requests, from 0 to 1
- * @param ratePerSecond the rate at which requests are sent, whether answers arrive or not
- * @param maxCount the number of requests after which the run ends
- * @param maxSeconds the time after which the run ends
+ * @param ratePerSecond the mean rate of the Poisson arrivals, in requests per second
+ * @param maxCount the number of planned requests after which the run ends
+ * @param maxSeconds the time in seconds after which no more requests are sent
  * @param deadlineMs the deadline of each request in milliseconds
- * @param maxInFlight the highest number of requests at the same time; what would exceed
- * it is counted as not sent
- * @param seed the seed that decides arrival times and the mix of requests
+ * @param maxInFlight the maximum number of requests in flight; requests that would exceed
+ * it are counted as not sent
+ * @param seed the seed of the arrival times and of the mix of requests
  * @param runId a text that makes the idempotency keys of this run unique
  */
 public record LoadOptions(List<String> entryUrls, List<String> endpointUrls, String apiKey, String readPipeline,
@@ -25,7 +26,7 @@
 		int maxInFlight, long seed, String runId) {
 
 	/**
-	 * Checks the components and refuses targets that are not loopback addresses.
+	 * Checks the options and refuses targets other than loopback addresses.
 	 */
 	public LoadOptions {
 		entryUrls = entryUrls.stream().map(LoopbackClient::requireLoopback).toList();
@@ -35,7 +36,7 @@
 		}
 		if (!(actionShare >= 0 && actionShare <= 1) || !(ratePerSecond > 0) || maxCount < 1 || maxSeconds < 1
 				|| deadlineMs < 1 || maxInFlight < 1) {
-			throw new IllegalArgumentException("rate, bounds and share must be positive");
+			throw new IllegalArgumentException("rate and limits must be positive, and actionShare must be from 0 to 1");
 		}
 	}
 
--- a/standin/src/main/java/org/fulmargap/standin/LoadResult.java
+++ b/standin/src/main/java/org/fulmargap/standin/LoadResult.java
@@ -6,27 +6,30 @@
 import java.util.TreeMap;
 
 /**
- * Result of a load run.
+ * Result of a run of the {@link LoadTool}.
  *
- * @param sent the number of requests sent, without resends
- * @param notSent the number of requests that were not sent because too many were in
- * flight
+ * @param sent the number of requests sent, not counting resends
+ * @param notSent the number of requests that were not sent because of the limit of
+ * requests in flight
  * @param actions the number of non-idempotent requests among those sent
- * @param answered the number of requests with a complete answer that belongs to them
- * @param late the number of those answers that arrived after the deadline
- * @param crossed the number of complete answers that belong to another request
- * @param notRun the number of requests refused as not run
+ * @param answered the number of requests with a complete response that belongs to them
+ * @param late the number of those responses that arrived after the deadline
+ * @param crossed the number of responses with status 200 that do not belong to their
+ * request
+ * @param notRun the number of requests refused with an error type that means not run
  * @param unknown the number of requests whose outcome is unknown
- * @param failed the number of requests with another error answer
- * @param lost the number of requests without an answer, after the resend if there was one
+ * @param failed the number of requests with another error response
+ * @param lost the number of requests without a response, after the resend if there was
+ * one
  * @param resent the number of non-idempotent requests that were sent again
- * @param executedKeys the number of idempotency keys of this run that endpoints executed
+ * @param executedKeys the number of idempotency keys of this run that were executed
  * @param doubled the number of keys that were executed more than once
- * @param falseNotRun the number of keys that were answered as not run and were executed
- * @param answeredNotExecuted the number of keys with an answer but without an execution
- * @param p50Ms the median time from the planned start to the answer, in milliseconds
- * @param p99Ms the 99th percentile of that time, in milliseconds
- * @param errorTypes the number of error answers by type
+ * @param falseNotRun the number of keys that were refused as not run but were executed
+ * @param answeredNotExecuted the number of keys with a response of status 200 but without
+ * an execution; zero if no executions were read
+ * @param p50Ms the median latency from the planned start to the response, in milliseconds
+ * @param p99Ms the 99th percentile of that latency, in milliseconds
+ * @param errorTypes the number of error responses by type
  */
 public record LoadResult(int sent, int notSent, int actions, int answered, int late, int crossed, int notRun,
 		int unknown, int failed, int lost, int resent, int executedKeys, int doubled, int falseNotRun,
@@ -40,9 +43,9 @@
 	}
 
 	/**
-	 * Returns the share of requests answered within the deadline. Requests that were not
-	 * sent count as not answered.
-	 * @return a value from 0 to 1
+	 * Returns the share of requests that were answered within the deadline. Requests that
+	 * were not sent count as not answered.
+	 * @return the share, from 0 to 1
 	 */
 	public double attainment() {
 		int planned = this.sent + this.notSent;
@@ -50,12 +53,12 @@
 	}
 
 	/**
-	 * Tells whether a promise was broken: an answer to the wrong request, a key executed
-	 * twice, a wrong statement that a request did not run, or an answer without
-	 * execution.
-	 * @return {@code true} if no promise was broken
+	 * Returns whether all guarantees held: no response to the wrong request, no key
+	 * executed more than once, no executed key refused as not run, and no response
+	 * without an execution.
+	 * @return {@code true} if no guarantee was violated
 	 */
-	public boolean isSound() {
+	public boolean isCorrect() {
 		return this.crossed == 0 && this.doubled == 0 && this.falseNotRun == 0 && this.answeredNotExecuted == 0;
 	}
 
--- a/standin/src/main/java/org/fulmargap/standin/LoadTool.java
+++ b/standin/src/main/java/org/fulmargap/standin/LoadTool.java
@@ -20,24 +20,24 @@
 import org.fulmargap.standin.LoopbackClient.Answer;
 
 /**
- * Open-loop load tool: requests start at times that do not depend on answers, and the
- * time of an answer counts from the planned start.
+ * Open-loop load generator: the start times of requests do not depend on responses, and
+ * latency counts from the planned start time.
  */
 public final class LoadTool {
 
 	private static final Set<String> NOT_RUN = Set.of("MALFORMED_REQUEST", "UNAUTHENTICATED", "UNKNOWN_PIPELINE",
 			"BODY_TOO_LARGE", "KEY_REQUIRED", "KEY_INVALID", "KEY_CONFLICT", "OVERLOADED", "NOT_RUN");
 
-	/** Time after the deadline for which the client still waits for the answer. */
-	private static final long GRACE_MS = 3_000;
+	/** Time for which the client waits for a response after the deadline. */
+	private static final long RESPONSE_GRACE_MS = 3_000;
 
-	private static final long HIGHEST_US = 600_000_000;
+	private static final long MAX_LATENCY_US = 600_000_000;
 
 	private final LoadOptions options;
 
 	private final LoopbackClient client;
 
-	private final Histogram latencyUs = new Histogram(HIGHEST_US, 3);
+	private final Histogram latencyUs = new Histogram(MAX_LATENCY_US, 3);
 
 	private final Map<String, Integer> errorTypes = new TreeMap<>();
 
@@ -62,19 +62,20 @@
 	private int resent;
 
 	/**
-	 * Creates the tool.
-	 * @param options what to send and where to
+	 * Creates a load generator for one run.
+	 * @param options the targets, rate and mix of requests
 	 */
 	public LoadTool(LoadOptions options) {
 		this.options = options;
-		this.client = new LoopbackClient(Duration.ofMillis(options.deadlineMs() + GRACE_MS), options.maxInFlight());
+		this.client = new LoopbackClient(Duration.ofMillis(options.deadlineMs() + RESPONSE_GRACE_MS),
+				options.maxInFlight());
 	}
 
 	/**
-	 * Sends the requests, waits for all answers and compares them with the counts of the
-	 * endpoints.
+	 * Sends the requests, waits for all responses and compares them with the executions
+	 * at the endpoints.
 	 * @return the result
-	 * @throws IOException if an endpoint does not report its counts
+	 * @throws IOException if an endpoint does not report its executions
 	 * @throws InterruptedException if the thread is interrupted
 	 */
 	public LoadResult run() throws IOException, InterruptedException {
@@ -94,14 +95,14 @@
 				if (plannedNs > endNs) {
 					break;
 				}
-				waitUntil((long) plannedNs);
+				sleepUntil((long) plannedNs);
 				if (!slots.tryAcquire()) {
 					notSent++;
 					continue;
 				}
 				sent++;
 				actions += action ? 1 : 0;
-				Planned planned = new Planned(number, action, entry, (long) plannedNs);
+				PlannedRequest planned = new PlannedRequest(number, action, entry, (long) plannedNs);
 				send(planned, entry).whenComplete((ignored, failure) -> slots.release());
 			}
 			slots.acquire(this.options.maxInFlight());
@@ -109,7 +110,7 @@
 		}
 	}
 
-	private static void waitUntil(long plannedNs) {
+	private static void sleepUntil(long plannedNs) {
 		long remaining = plannedNs - System.nanoTime();
 		while (remaining > 0) {
 			LockSupport.parkNanos(remaining);
@@ -117,7 +118,7 @@
 		}
 	}
 
-	private CompletableFuture<?> send(Planned planned, int entry) {
+	private CompletableFuture<?> send(PlannedRequest planned, int entry) {
 		return call(planned, entry).handle((answer, failure) -> {
 			if (answer != null) {
 				return CompletableFuture.completedFuture(answer);
@@ -135,7 +136,7 @@
 		});
 	}
 
-	private CompletableFuture<Answer> call(Planned planned, int entry) {
+	private CompletableFuture<Answer> call(PlannedRequest planned, int entry) {
 		Map<String, String> headers = new HashMap<>();
 		headers.put("Authorization", "Bearer " + this.options.apiKey());
 		headers.put("Fulmargap-Deadline-Ms", Long.toString(this.options.deadlineMs()));
@@ -156,15 +157,15 @@
 		return "request " + this.options.runId() + " " + number;
 	}
 
-	private synchronized void record(Planned planned, Answer answer) {
+	private synchronized void record(PlannedRequest planned, Answer answer) {
 		if (answer == null) {
 			this.lost++;
 			return;
 		}
-		long tookUs = (System.nanoTime() - planned.plannedNs()) / 1_000;
-		this.latencyUs.recordValue(Math.min(tookUs, HIGHEST_US));
+		long durationUs = (System.nanoTime() - planned.plannedNs()) / 1_000;
+		this.latencyUs.recordValue(Math.min(durationUs, MAX_LATENCY_US));
 		if (answer.status() == 200) {
-			recordOutput(planned, answer, tookUs);
+			recordOutput(planned, answer, durationUs);
 			return;
 		}
 		String type = answer.errorType();
@@ -183,7 +184,7 @@
 		}
 	}
 
-	private void recordOutput(Planned planned, Answer answer, long tookUs) {
+	private void recordOutput(PlannedRequest planned, Answer answer, long durationUs) {
 		String output;
 		try {
 			output = answer.json().path("output").asText();
@@ -196,7 +197,7 @@
 			return;
 		}
 		this.answered++;
-		this.late += (tookUs > this.options.deadlineMs() * 1_000) ? 1 : 0;
+		this.late += (durationUs > this.options.deadlineMs() * 1_000) ? 1 : 0;
 		if (planned.action()) {
 			this.answeredKeys.add(key(planned.number()));
 		}
@@ -215,9 +216,9 @@
 	}
 
 	/**
-	 * Adds up the executions of the keys of this run over all endpoints.
-	 * @return the count per key
-	 * @throws IOException if an endpoint does not answer
+	 * Counts the executions of the idempotency keys of this run at all endpoints.
+	 * @return the number of executions per key
+	 * @throws IOException if an endpoint does not respond
 	 */
 	private Map<String, Integer> executions() throws IOException {
 		Map<String, Integer> executed = new HashMap<>();
@@ -238,14 +239,14 @@
 	}
 
 	/**
-	 * One request of the run.
+	 * Request of the run.
 	 *
 	 * @param number the number of the request
-	 * @param action whether it is non-idempotent
-	 * @param entry the index of the entry VM that gets it first
-	 * @param plannedNs when it starts, in nanoseconds of the JVM's clock
+	 * @param action whether the request is non-idempotent
+	 * @param entry the index of the entry VM that receives it first
+	 * @param plannedNs the planned start time, as of {@link System#nanoTime()}
 	 */
-	private record Planned(int number, boolean action, int entry, long plannedNs) {
+	private record PlannedRequest(int number, boolean action, int entry, long plannedNs) {
 	}
 
 }
--- a/standin/src/main/java/org/fulmargap/standin/PlatformCommand.java
+++ b/standin/src/main/java/org/fulmargap/standin/PlatformCommand.java
@@ -8,13 +8,13 @@
 import picocli.CommandLine.Option;
 
 /**
- * Serves the platform stand-in until the process is ended.
+ * Runs the platform stand-in until the process is terminated.
  */
 @Command(name = "platform", mixinStandardHelpOptions = true,
-		description = "Serves the log service and the list of VMs on the loopback address.")
+		description = "Runs a stand-in of the log service and the VM list on the loopback address.")
 final class PlatformCommand implements Callable<Integer> {
 
-	@Option(names = "--port", required = true, description = "Port to serve; repeat it to cut clients off per port.")
+	@Option(names = "--port", required = true, description = "Port to listen on; repeat it to cut off clients by port.")
 	private List<Integer> ports;
 
 	@Option(names = "--appends-per-second", defaultValue = "400")
--- a/standin/src/main/java/org/fulmargap/standin/StandIn.java
+++ b/standin/src/main/java/org/fulmargap/standin/StandIn.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 
 /**
- * Command line of the stand-ins and of the tools that use them.
+ * Command line of the stand-ins, the load tool, the demo and the measuring commands.
  */
 @Command(name = "standin", mixinStandardHelpOptions = true, description = "Stand-ins of the platform and of endpoints.",
 		subcommands = { PlatformCommand.class, EndpointCommand.class, LoadCommand.class, DemoCommand.class,
@@ -19,8 +19,8 @@
 	 * @param args the subcommand and its options
 	 */
 	public static void main(String[] args) {
-		// Not named logback.xml, because test processes also have the server's on their
-		// class path.
+		// Not named logback.xml, because the class path of test processes also contains
+		// the server's logback.xml.
 		System.setProperty("logback.configurationFile", "standin-logback.xml");
 		CommandLine commandLine = new CommandLine(new StandIn());
 		commandLine.setExecutionExceptionHandler((failure, command, parsed) -> {
--- a/standin/src/test/java/org/fulmargap/standin/EndpointStandInTests.java
+++ b/standin/src/test/java/org/fulmargap/standin/EndpointStandInTests.java
@@ -18,8 +18,8 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 /**
- * Tests of {@link EndpointStandIn}. A fault that does not do what it says would let a
- * proof pass that tests nothing.
+ * Tests of {@link EndpointStandIn}. If an injected fault had no effect, the failure tests
+ * that use it would pass without testing anything.
  */
 @Timeout(60)
 class EndpointStandInTests {
@@ -76,7 +76,7 @@
 	class Answers {
 
 		@Test
-		void nameTheInputAndTheAttempt() throws Exception {
+		void containTheInputDigestAndTheAttempt() throws Exception {
 			start(EndpointOptions.warm("e", 0));
 			Answer answer = stage("action", "i/1/0/0", "push 7");
 			assertThat(answer.headers()).containsEntry("Fulmargap-Attempt", "i/1/0/0");
@@ -125,7 +125,7 @@
 		}
 
 		@Test
-		void openConnectionsGoSilentWhileNewOnesWork() throws Exception {
+		void openConnectionsAreSilencedWhileNewOnesAreServed() throws Exception {
 			start(EndpointOptions.warm("e", 0));
 			faults(Map.of("hold", true));
 			CompletableFuture<Answer> silent = stage("encode", "i/1/0/0", "NORMAL", "a");
@@ -165,14 +165,14 @@
 		}
 
 		@Test
-		void markedInputBreaksAllConnectionsAndTheEndpointReturnsAsNewIncarnation() throws Exception {
+		void markedInputClosesAllConnectionsAndTheEndpointRestartsAsNewIncarnation() throws Exception {
 			start(EndpointOptions.warm("e", 0));
 			String before = stage("encode", "i/1/0/0", "a").headers().get("Fulmargap-Incarnation");
 			faults(Map.of("crash_marker", "poison", "crash_down_ms", 100, "hold", true));
-			CompletableFuture<Answer> bystander = stage("encode", "i/2/0/0", "NORMAL", "b");
+			CompletableFuture<Answer> concurrent = stage("encode", "i/2/0/0", "NORMAL", "b");
 			awaitLoad("in_flight", 1);
 			assertThatThrownBy(() -> stage("action", "i/3/0/0", "poison")).hasRootCauseInstanceOf(IOException.class);
-			assertThatThrownBy(() -> bystander.get(20, TimeUnit.SECONDS)).hasRootCauseInstanceOf(IOException.class);
+			assertThatThrownBy(() -> concurrent.get(20, TimeUnit.SECONDS)).hasRootCauseInstanceOf(IOException.class);
 			Answer health = null;
 			while (health == null) {
 				try {
