--- a/proofs/src/test/java/org/fulmargap/proofs/EndpointFailureTests.java
+++ b/proofs/src/test/java/org/fulmargap/proofs/EndpointFailureTests.java
@@ -11,7 +11,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Endpoints fail in ways that look like success.
+ * Endpoint failures other than a refused connection or an error status: silent
+ * connections, crossed answers, which carry the id of another attempt, duplicated
+ * answers, and crashes caused by a request.
  */
 class EndpointFailureTests {
 
@@ -19,13 +21,14 @@
 	class Silent extends Proof {
 
 		/**
-		 * Guards against requests that wait on a dead connection until their deadline.
+		 * Guards against requests that wait until their deadline on a connection that is
+		 * open but transfers no data any more.
 		 */
 		@Test
 		void connectionsAreReplacedAndReadsAnswered() throws Exception {
 			assertReadsAreAnswered(this.first, this.second, this.third);
-			Answer before = answer(action(this.first, "before-silence"));
-			assertThat(before.status()).isEqualTo(200);
+			Answer beforeSilence = answer(action(this.first, "before-silence"));
+			assertThat(beforeSilence.status()).isEqualTo(200);
 			for (String service : new String[] { "encoder", "retriever", "reranker", "generator", "labels" }) {
 				serviceFaults(service, Map.of("silence_open_connections", true));
 			}
@@ -39,26 +42,26 @@
 	@Nested
 	class Crossed extends Proof {
 
-		/** Guards against the answer to another request (P1, P4). */
+		/** Guards against delivering the answer to another request (P1, P4). */
 		@Test
-		void answersAreDroppedAndReadsRepeated() throws Exception {
-			// One of three endpoints; if all cross their answers, three attempts are not
-			// enough.
+		void answersAreDiscardedAndReadsAreRetried() throws Exception {
+			// Only one of the three endpoints sends crossed answers. If all did, all
+			// attempts of the stage would fail.
 			this.cluster.endpointFaults("retriever-bog-norte", Map.of("cross_answer", true));
 			assertReadsAreAnswered(this.first, this.second, this.third);
-			int dropped = 0;
+			int discarded = 0;
 			for (EntryVm vm : this.cluster.vms()) {
-				dropped += events(vm, "CROSSED_ANSWER");
+				discarded += countEvents(vm, "CROSSED_ANSWER");
 			}
-			assertThat(dropped).isPositive();
+			assertThat(discarded).isPositive();
 		}
 
 		/**
-		 * Guards against delivering a crossed answer when no other endpoint is left (P1,
-		 * P4).
+		 * Guards against delivering a crossed answer when all endpoints of the service
+		 * send crossed answers (P1, P4).
 		 */
 		@Test
-		void answersOfAllEndpointsFailTheReadWithType() throws Exception {
+		void readsFailWithTypeIfAllEndpointsSendCrossedAnswers() throws Exception {
 			serviceFaults("retriever", Map.of("cross_answer", true));
 			for (EntryVm vm : this.cluster.vms()) {
 				assertThat(read(vm).errorType()).isEqualTo("STAGE_FAILED");
@@ -66,7 +69,8 @@
 		}
 
 		/**
-		 * Guards against taking a crossed answer for the action's, and against a retry.
+		 * Guards against accepting a crossed answer as the result of the action, and
+		 * against a retry of the action.
 		 */
 		@Test
 		void answerToAnActionLeavesTheOutcomeUnknown() throws Exception {
@@ -78,11 +82,11 @@
 		}
 
 		/**
-		 * Guards against an answer that the next request on the connection takes for its
-		 * own.
+		 * Guards against a duplicated answer that is accepted as the answer to the next
+		 * request on the connection.
 		 */
 		@Test
-		void duplicatedAnswersReachNobodyElse() throws Exception {
+		void duplicatedAnswersAreNotDeliveredToOtherRequests() throws Exception {
 			serviceFaults("encoder", Map.of("duplicate_answer", true, "limit", 3));
 			for (int round = 0; round < 5; round++) {
 				assertReadsAreAnswered(this.first, this.second, this.third);
@@ -94,21 +98,21 @@
 	@Nested
 	class Crashed extends Proof {
 
-		private static final String POISON = "poison";
+		private static final String CRASH_MARKER = "poison";
 
-		/** Guards against a request that crashes one endpoint after the other. */
+		/** Guards against a request that crashes one endpoint after another. */
 		@Test
-		void byOneRequestThatIsResentCostsTwoEndpointsAtMost() throws Exception {
-			serviceFaults("encoder", Map.of("crash_marker", POISON, "crash_down_ms", 300));
+		void atMostTwoEndpointsByOneResentRequest() throws Exception {
+			serviceFaults("encoder", Map.of("crash_marker", CRASH_MARKER, "crash_down_ms", 300));
 			Answer last = null;
 			for (int round = 0; round < 3; round++) {
 				for (EntryVm vm : this.cluster.vms()) {
-					last = answer(this.cluster.request(vm, READ, null, POISON));
+					last = answer(this.cluster.request(vm, READ, null, CRASH_MARKER));
 					assertThat(last.status()).isNotEqualTo(200);
 				}
 			}
 			assertThat(last.errorType()).isEqualTo("REQUEST_QUARANTINED");
-			assertThat(crashes("encoder")).isLessThanOrEqualTo(2);
+			assertThat(countCrashes("encoder")).isLessThanOrEqualTo(2);
 			Conditions.await("reads after the crashes", () -> read(this.first).status() == 200
 					&& read(this.second).status() == 200 && read(this.third).status() == 200);
 		}
--- a/proofs/src/test/java/org/fulmargap/proofs/LogFailureTests.java
+++ b/proofs/src/test/java/org/fulmargap/proofs/LogFailureTests.java
@@ -12,7 +12,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The platform's log fails.
+ * Failures of the platform's log: lost answers to appends, and outages.
  */
 class LogFailureTests {
 
@@ -20,8 +20,8 @@
 	class AnswerLost extends Proof {
 
 		/**
-		 * Guards against a claim that counts twice, or never, when its append is
-		 * repeated.
+		 * Guards against a claim that takes effect twice, or not at all, when its append
+		 * is repeated after a lost answer.
 		 */
 		@Test
 		void runsTheActionOnceAndAnswersResends() throws Exception {
@@ -42,7 +42,8 @@
 	class Down extends Proof {
 
 		/**
-		 * Guards against actions without a claim, and against an outage that stops reads.
+		 * Guards against actions that run without a claim, and against an outage of the
+		 * log that stops reads.
 		 */
 		@Test
 		void refusesActionsAsNotRunAndServesReads() throws Exception {
@@ -57,7 +58,10 @@
 			assertThat(this.cluster.executionsOfKey("log-down")).isEqualTo(1);
 		}
 
-		/** Guards against P3 depending on the log. */
+		/**
+		 * Guards against a failure domain that cannot be taken out of service while the
+		 * log is down (P3).
+		 */
 		@Test
 		void failureDomainThatIsOutGetsNoNewWorkAfterThreeSeconds() throws Exception {
 			this.cluster.platformFaults(Map.of("down", true));
@@ -67,29 +71,32 @@
 				assertReadsAreAnswered(this.first, this.second, this.third);
 				return System.nanoTime() - startNs > TimeUnit.SECONDS.toNanos(3);
 			});
-			int before = this.cluster.executionsIn("bog-sur");
+			int executionsBefore = this.cluster.executionsIn("bog-sur");
 			for (int round = 0; round < 10; round++) {
 				assertReadsAreAnswered(this.first, this.second, this.third);
 			}
-			assertThat(this.cluster.executionsIn("bog-sur")).isEqualTo(before);
+			assertThat(this.cluster.executionsIn("bog-sur")).isEqualTo(executionsBefore);
 			this.cluster.order(this.second, "bog-sur", "IN");
-			Conditions.await("work in the domain that is back", () -> {
+			Conditions.await("work in the failure domain after it is back in service", () -> {
 				assertReadsAreAnswered(this.first, this.second, this.third);
-				return this.cluster.executionsIn("bog-sur") > before;
+				return this.cluster.executionsIn("bog-sur") > executionsBefore;
 			});
 		}
 
-		/** Guards against a VM that cannot restart, or restarts with an old version. */
+		/**
+		 * Guards against a VM that cannot restart during an outage of the log, or
+		 * restarts with an old configuration version.
+		 */
 		@Test
 		void restartedVmServesTheVersionOfItsPeers() throws Exception {
 			this.cluster.patch(this.second, "{\"accounts\":{\"andinas\":{\"weight\":3}}}");
-			long version = version();
+			long configVersion = configVersion();
 			this.cluster.platformFaults(Map.of("down", true));
 			this.first.kill();
 			this.first.start();
 			Conditions.await("readiness from peers",
 					() -> this.cluster.get(this.first.adminUrl() + "/health/ready").path("ready").asBoolean());
-			assertThat(version()).isEqualTo(version);
+			assertThat(configVersion()).isEqualTo(configVersion);
 			assertReadsAreAnswered(this.first);
 			Answer refused = answer(action(this.first, "restarted"));
 			assertAtMostOnce("restarted", refused);
@@ -100,7 +107,7 @@
 			assertThat(this.cluster.executionsOfKey("restarted")).isEqualTo(1);
 		}
 
-		private long version() throws Exception {
+		private long configVersion() throws Exception {
 			return this.cluster.get(this.first.adminUrl() + "/v1/config").path("version").asLong();
 		}
 
--- a/proofs/src/test/java/org/fulmargap/proofs/Proof.java
+++ b/proofs/src/test/java/org/fulmargap/proofs/Proof.java
@@ -31,8 +31,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Starts a cluster of three failure domains with one entry VM each for every test. Tests
- * wait for conditions with generous limits and assert nothing about speed.
+ * Base class of tests that start a cluster of three failure domains with one entry VM
+ * each for every test. Tests wait for conditions with generous time limits and assert
+ * nothing about speed.
  */
 @Timeout(180)
 abstract class Proof {
@@ -41,13 +42,13 @@
 
 	static final String ACTION = "label-push";
 
-	/** Longer than the deadline of the pipelines and the client's connection set-up. */
-	private static final long ANSWER_SECONDS = 30;
+	/** Longer than the deadline of the pipelines plus the client's connection setup. */
+	private static final long ANSWER_TIMEOUT_SECONDS = 30;
 
-	private final AtomicInteger inputs = new AtomicInteger();
+	private final AtomicInteger readCount = new AtomicInteger();
 
 	@TempDir(cleanup = CleanupMode.ON_SUCCESS)
-	Path folder;
+	Path directory;
 
 	Cluster cluster;
 
@@ -59,20 +60,20 @@
 
 	@BeforeEach
 	void startCluster() throws Exception {
-		Path templates = Files.createDirectory(this.folder.resolve("config"));
-		Path source = Path.of(System.getProperty("repository.root"), "config");
+		Path templateDirectory = Files.createDirectory(this.directory.resolve("config"));
+		Path sourceDirectory = Path.of(System.getProperty("repository.root"), "config");
 		for (String name : List.of("entry-vm.json", "first-patch.json", "second-patch.json")) {
-			// The endpoints are warm, and slow start would refuse the bursts that tests
-			// send.
-			Files.writeString(templates.resolve(name), Files.readString(source.resolve(name))
+			// The endpoints start warm. With the default initial concurrency, slow start
+			// would reject the bursts that the tests send.
+			Files.writeString(templateDirectory.resolve(name), Files.readString(sourceDirectory.resolve(name))
 				.replace("\"drain_notice_ms\"", "\"initial_concurrency\": 96, \"drain_notice_ms\""));
 		}
 		String classPath = System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
-		String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-		this.cluster = new Cluster(
-				new ClusterOptions(List.of("bog-norte", "bog-centro", "bog-sur"), 1, ClusterOptions.SERVICES,
-						List.of(java, "-Xmx256m", "-cp", classPath, "org.fulmargap.server.FulmargapServer"), templates,
-						this.folder, PlatformStandIn.Options.defaults(), EndpointOptions.warm("", 0)));
+		String javaExecutable = Path.of(System.getProperty("java.home"), "bin", "java").toString();
+		this.cluster = new Cluster(new ClusterOptions(List.of("bog-norte", "bog-centro", "bog-sur"), 1,
+				ClusterOptions.SERVICES,
+				List.of(javaExecutable, "-Xmx256m", "-cp", classPath, "org.fulmargap.server.FulmargapServer"),
+				templateDirectory, this.directory, PlatformStandIn.Options.defaults(), EndpointOptions.warm("", 0)));
 		this.first = this.cluster.vm("bog-norte-1");
 		this.second = this.cluster.vm("bog-centro-1");
 		this.third = this.cluster.vm("bog-sur-1");
@@ -90,16 +91,16 @@
 	}
 
 	static Answer answer(CompletableFuture<Answer> future) throws Exception {
-		return future.get(ANSWER_SECONDS, TimeUnit.SECONDS);
+		return future.get(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
 	}
 
 	/**
 	 * Waits for the end of a request.
 	 * @param future the request
-	 * @return the answer, or {@code null} if the connection broke
-	 * @throws Exception if the request does not end
+	 * @return the answer, or {@code null} if the connection was lost
+	 * @throws Exception if the request does not end in time
 	 */
-	static Answer answerOrLost(CompletableFuture<Answer> future) throws Exception {
+	static Answer answerOrNull(CompletableFuture<Answer> future) throws Exception {
 		try {
 			return answer(future);
 		}
@@ -110,13 +111,14 @@
 	}
 
 	/**
-	 * Sends an idempotent request with an input of its own.
+	 * Sends an idempotent request with a unique input. Asserts that an answer with status
+	 * 200 belongs to this input.
 	 * @param vm the entry VM
 	 * @return the answer
-	 * @throws Exception if there is none
+	 * @throws Exception if the connection is lost or no answer is received in time
 	 */
 	Answer read(EntryVm vm) throws Exception {
-		String input = "read " + this.inputs.incrementAndGet();
+		String input = "read " + this.readCount.incrementAndGet();
 		Answer answer = answer(this.cluster.request(vm, READ, null, input));
 		if (answer.status() == 200) {
 			assertThat(StageOutput.belongsTo(answer.json().path("output").asText(), input))
@@ -134,11 +136,12 @@
 	}
 
 	/**
-	 * Asserts what holds for every key, whatever failed: at most one execution, an answer
-	 * only after an execution, and a refusal as not run only without one.
-	 * @param key the key
-	 * @param answers the answers to all requests with the key; {@code null} where the
-	 * connection broke
+	 * Asserts what must hold for an idempotency key under any failure: it is executed at
+	 * most once, an answer with status 200 requires an execution, and an answer that
+	 * states that the request did not run requires that there was none.
+	 * @param key the idempotency key
+	 * @param answers the answers to all requests with the key; {@code null} if the
+	 * connection was lost
 	 * @throws IOException if the counts cannot be read
 	 */
 	void assertAtMostOnce(String key, Answer... answers) throws IOException {
@@ -166,31 +169,31 @@
 	 * Waits until an entry VM has recorded an event.
 	 * @param vm the entry VM
 	 * @param type the type of the event
-	 * @param count the least number of such events
-	 * @throws Exception if the event does not come
+	 * @param count the minimum number of such events
+	 * @throws Exception if the events are not recorded in time
 	 */
 	void awaitEvents(EntryVm vm, String type, int count) throws Exception {
-		Conditions.await(count + " events " + type + " at " + vm.name(), () -> events(vm, type) >= count);
+		Conditions.await(count + " events " + type + " at " + vm.name(), () -> countEvents(vm, type) >= count);
 	}
 
-	int events(EntryVm vm, String type) throws IOException {
-		int found = 0;
+	int countEvents(EntryVm vm, String type) throws IOException {
+		int eventCount = 0;
 		for (JsonNode event : this.cluster.get(vm.adminUrl() + "/v1/timeline").path("events")) {
-			found += event.path("type").asText().equals(type) ? 1 : 0;
+			eventCount += event.path("type").asText().equals(type) ? 1 : 0;
 		}
-		return found;
+		return eventCount;
 	}
 
 	void serviceFaults(String service, Map<String, ?> faults) throws IOException {
 		this.cluster.serviceFaults(service, faults);
 	}
 
-	int crashes(String service) throws IOException {
-		int crashes = 0;
+	int countCrashes(String service) throws IOException {
+		int crashCount = 0;
 		for (String name : this.cluster.endpointNames()) {
-			crashes += name.startsWith(service + "-") ? this.cluster.executions(name).path("crashes").asInt() : 0;
+			crashCount += name.startsWith(service + "-") ? this.cluster.executions(name).path("crashes").asInt() : 0;
 		}
-		return crashes;
+		return crashCount;
 	}
 
 	static Set<Integer> statuses(List<CompletableFuture<Answer>> futures) throws Exception {
--- a/proofs/src/test/java/org/fulmargap/proofs/package-info.java
+++ b/proofs/src/test/java/org/fulmargap/proofs/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Tests of the promises with entry VMs that run as processes of their own.
+ * Tests of guarantees (P1 to P9 in docs/proofs.md) with entry VMs that run as separate
+ * processes.
  */
 package org.fulmargap.proofs;
