--- a/bench/src/main/java/org/fulmargap/bench/BaselineVm.java
+++ b/bench/src/main/java/org/fulmargap/bench/BaselineVm.java
@@ -12,55 +12,56 @@
 import org.fulmargap.routing.Reservation;
 
 /**
- * Round robin over all endpoints that are in service, no admission control, no claims, no
- * slow start, and three retries after any failure.
+ * Entry VM of the baseline: round robin over all endpoints that are in service, without
+ * admission control, claims and slow start, with up to three retries of a stage after any
+ * failure.
  */
 final class BaselineVm extends EntryVm {
 
 	private static final int MAX_RETRIES = 3;
 
-	private final Map<String, Integer> next = new HashMap<>();
+	private final Map<String, Integer> nextIndexes = new HashMap<>();
 
 	private Set<String> unavailable = Set.of();
 
-	BaselineVm(World world) {
-		super(world);
+	BaselineVm(Simulation simulation) {
+		super(simulation);
 	}
 
 	@Override
-	void begin(Flow flow) {
-		startStage(flow);
+	void begin(RequestState state) {
+		startStage(state);
 	}
 
 	@Override
-	Optional<Reservation> choose(Flow flow) {
+	Optional<Reservation> selectEndpoint(RequestState state) {
 		List<String> endpoints = new ArrayList<>();
-		this.world.configuration().endpoints().forEach((name, spec) -> {
-			if (spec.service().equals(flow.service()) && !this.unavailable.contains(name)) {
+		this.simulation.configuration().endpoints().forEach((name, spec) -> {
+			if (spec.service().equals(state.service()) && !this.unavailable.contains(name)) {
 				endpoints.add(name);
 			}
 		});
-		int index = this.next.merge(flow.service(), 1, Integer::sum);
+		int index = this.nextIndexes.merge(state.service(), 1, Integer::sum);
 		String name = endpoints.get(index % endpoints.size());
-		return Optional.of(new Choice(name, this.world.configuration().endpoints().get(name)));
+		return Optional.of(new BaselineReservation(name, this.simulation.configuration().endpoints().get(name)));
 	}
 
 	@Override
-	long limitMs(Flow flow) {
-		return flow.deadline.remainingMs(this.clock.nowMs());
+	long limitMs(RequestState state) {
+		return state.deadline.remainingMs(this.clock.nowMs());
 	}
 
 	@Override
-	boolean retries(Flow flow, String endpoint, CallFailure failure) {
-		return flow.attempts <= MAX_RETRIES && limitMs(flow) > 0;
+	boolean shouldRetry(RequestState state, String endpoint, CallFailure failure) {
+		return state.attempts <= MAX_RETRIES && limitMs(state) > 0;
 	}
 
 	@Override
-	void update(Set<String> unavailable) {
+	void setUnavailableEndpoints(Set<String> unavailable) {
 		this.unavailable = unavailable;
 	}
 
-	private record Choice(String endpoint, EndpointSpec spec) implements Reservation {
+	private record BaselineReservation(String endpoint, EndpointSpec spec) implements Reservation {
 
 		@Override
 		public void succeeded(long durationMs, int cachedTokens, String incarnation, long nowMs) {
--- a/bench/src/main/java/org/fulmargap/bench/EntryVm.java
+++ b/bench/src/main/java/org/fulmargap/bench/EntryVm.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 
 import org.fulmargap.admission.AdmissionListener.Permit;
-import org.fulmargap.bench.Tally.Outcome;
+import org.fulmargap.bench.RunStatistics.Outcome;
 import org.fulmargap.bench.Workload.Request;
 import org.fulmargap.config.PipelineSpec;
 import org.fulmargap.request.Deadline;
@@ -14,93 +14,95 @@
 import org.fulmargap.routing.Reservation;
 
 /**
- * An entry VM: runs the stages of requests. Subclasses decide about admission, endpoints
- * and retries.
+ * Simulated entry VM, which runs the stages of requests. Subclasses implement admission,
+ * the selection of endpoints and retries.
  */
 abstract class EntryVm {
 
-	/** Entry VMs look for a free endpoint this often. */
-	private static final long SELECT_AGAIN_MS = 5;
+	/** Delay between attempts to find a free endpoint for a stage. */
+	private static final long SELECT_RETRY_MS = 5;
 
-	final World world;
+	final Simulation simulation;
 
-	final Clock clock;
+	final VirtualClock clock;
 
-	EntryVm(World world) {
-		this.world = world;
-		this.clock = world.clock();
+	EntryVm(Simulation simulation) {
+		this.simulation = simulation;
+		this.clock = simulation.clock();
 	}
 
-	// Decides about a request and lets it start with {@link #startStage} or ends it.
-	abstract void begin(Flow flow);
+	// Admits a request and runs its first stage with startStage, now or later, or refuses
+	// it with end.
+	abstract void begin(RequestState state);
 
-	// Reserves an endpoint, or returns empty if there is none now.
-	abstract Optional<Reservation> choose(Flow flow);
+	// Reserves an endpoint for the current stage, or returns empty if none is free or if
+	// the request was ended.
+	abstract Optional<Reservation> selectEndpoint(RequestState state);
 
-	// Returns the time that the present stage may use.
-	abstract long limitMs(Flow flow);
+	// Returns the time in milliseconds that the current stage may use.
+	abstract long limitMs(RequestState state);
 
-	// Decides whether a failed attempt is followed by another.
-	abstract boolean retries(Flow flow, String endpoint, CallFailure failure);
+	// Returns whether a failed attempt is retried.
+	abstract boolean shouldRetry(RequestState state, String endpoint, CallFailure failure);
 
-	// Replaces the set of endpoints that are taken out.
-	abstract void update(Set<String> unavailable);
+	// Replaces the set of endpoints that are out of service.
+	abstract void setUnavailableEndpoints(Set<String> unavailable);
 
 	final void submit(Request request, Consumer<Outcome> onEnd) {
-		begin(new Flow(request, this.world.pipeline(request), onEnd));
+		begin(new RequestState(request, this.simulation.pipeline(request), onEnd));
 	}
 
-	final void startStage(Flow flow) {
-		flow.attempts = 0;
-		flow.excluded.clear();
-		attempt(flow);
+	final void startStage(RequestState state) {
+		state.attempts = 0;
+		state.excludedEndpoints.clear();
+		attempt(state);
 	}
 
-	final void attempt(Flow flow) {
-		long limitMs = limitMs(flow);
+	final void attempt(RequestState state) {
+		long limitMs = limitMs(state);
 		if (limitMs <= 0) {
-			end(flow, (flow.mayHaveRun) ? Outcome.LATE : Outcome.NOT_RUN);
+			end(state, (state.mayHaveRun) ? Outcome.LATE : Outcome.NOT_RUN);
 			return;
 		}
-		Optional<Reservation> reservation = choose(flow);
-		if (flow.ended) {
+		Optional<Reservation> reservation = selectEndpoint(state);
+		if (state.ended) {
 			return;
 		}
 		if (reservation.isEmpty()) {
-			this.clock.after(SELECT_AGAIN_MS, () -> attempt(flow));
+			this.clock.scheduleAfter(SELECT_RETRY_MS, () -> attempt(state));
 			return;
 		}
-		flow.attempts++;
-		new Attempt(flow, reservation.get()).send(limitMs);
+		state.attempts++;
+		new Attempt(state, reservation.get()).send(limitMs);
 	}
 
-	final void end(Flow flow, Outcome outcome) {
-		flow.ended = true;
-		if (flow.permit != null) {
-			flow.permit.release(this.clock.nowMs());
+	final void end(RequestState state, Outcome outcome) {
+		state.ended = true;
+		if (state.permit != null) {
+			state.permit.release(this.clock.nowMs());
 		}
-		flow.onEnd.accept(outcome);
+		state.onEnd.accept(outcome);
 	}
 
-	private void answered(Flow flow) {
-		flow.mayHaveRun |= flow.countsAsRun();
-		flow.stage++;
-		if (flow.stage < flow.pipeline.stages().size()) {
-			startStage(flow);
+	private void answered(RequestState state) {
+		state.mayHaveRun |= state.countsAsRun();
+		state.stage++;
+		if (state.stage < state.pipeline.stages().size()) {
+			startStage(state);
 		}
 		else {
-			completed(flow);
-			end(flow, (flow.deadline.isPassed(this.clock.nowMs())) ? Outcome.LATE : Outcome.ANSWERED);
+			completed(state);
+			end(state, (state.deadline.isPassed(this.clock.nowMs())) ? Outcome.LATE : Outcome.ANSWERED);
 		}
 	}
 
-	void completed(Flow flow) {
+	void completed(RequestState state) {
 	}
 
 	/**
-	 * A request on its way through the stages.
+	 * A request and its progress through the stages.
 	 */
-	static final class Flow {
+	static final class RequestState {
 
 		final Request request;
 
@@ -108,7 +110,7 @@
 
 		final Deadline deadline;
 
-		final Set<String> excluded = new HashSet<>();
+		final Set<String> excludedEndpoints = new HashSet<>();
 
 		private final Consumer<Outcome> onEnd;
 
@@ -122,7 +124,7 @@
 
 		boolean ended;
 
-		Flow(Request request, PipelineSpec pipeline, Consumer<Outcome> onEnd) {
+		RequestState(Request request, PipelineSpec pipeline, Consumer<Outcome> onEnd) {
 			this.request = request;
 			this.pipeline = pipeline;
 			this.deadline = new Deadline(request.atMs() + pipeline.deadlineMs());
@@ -133,9 +135,9 @@
 			return this.pipeline.stages().get(this.stage).service();
 		}
 
-		// The stages before the action of a non-idempotent request have no effect
-		// outside,
-		// so only the action makes the statement "not run" untrue.
+		// Returns whether an execution of the current stage counts as an execution of the
+		// request. Of a non-idempotent request, only the action counts, because
+		// the stages before it have no external effects.
 		boolean countsAsRun() {
 			return this.request.idempotent() || this.stage == this.pipeline.stages().size() - 1;
 		}
@@ -143,11 +145,11 @@
 	}
 
 	/**
-	 * One call to an endpoint.
+	 * One attempt of a stage at an endpoint.
 	 */
 	private final class Attempt implements FakeEndpoint.Listener {
 
-		private final Flow flow;
+		private final RequestState state;
 
 		private final Reservation reservation;
 
@@ -155,16 +157,16 @@
 
 		private boolean done;
 
-		private Attempt(Flow flow, Reservation reservation) {
-			this.flow = flow;
+		private Attempt(RequestState state, Reservation reservation) {
+			this.state = state;
 			this.reservation = reservation;
 			this.sentMs = EntryVm.this.clock.nowMs();
 		}
 
 		private void send(long limitMs) {
-			FakeEndpoint endpoint = EntryVm.this.world.endpoint(this.reservation.endpoint());
-			FakeEndpoint.Call call = endpoint.submit(this.flow.request, this);
-			EntryVm.this.clock.after(limitMs, () -> {
+			FakeEndpoint endpoint = EntryVm.this.simulation.endpoint(this.reservation.endpoint());
+			FakeEndpoint.Call call = endpoint.submit(this.state.request, this);
+			EntryVm.this.clock.scheduleAfter(limitMs, () -> {
 				if (!this.done) {
 					endpoint.cancel(call);
 					failed(CallFailure.TIMED_OUT);
@@ -178,7 +180,7 @@
 			this.done = true;
 			this.reservation.succeeded(nowMs - this.sentMs, cachedTokens, incarnation, nowMs);
 			this.reservation.close();
-			EntryVm.this.answered(this.flow);
+			EntryVm.this.answered(this.state);
 		}
 
 		@Override
@@ -186,20 +188,20 @@
 			this.done = true;
 			this.reservation.failed(failure, EntryVm.this.clock.nowMs());
 			this.reservation.close();
-			this.flow.mayHaveRun |= failure.dispatchState().mayHaveRun() && this.flow.countsAsRun();
-			boolean unknown = !this.flow.request.idempotent() && this.flow.mayHaveRun;
-			if (retries(this.flow, this.reservation.endpoint(), failure)) {
-				this.flow.excluded.add(this.reservation.endpoint());
-				attempt(this.flow);
+			this.state.mayHaveRun |= failure.dispatchState().mayHaveRun() && this.state.countsAsRun();
+			boolean unknown = !this.state.request.idempotent() && this.state.mayHaveRun;
+			if (shouldRetry(this.state, this.reservation.endpoint(), failure)) {
+				this.state.excludedEndpoints.add(this.reservation.endpoint());
+				attempt(this.state);
 			}
 			else if (unknown) {
-				end(this.flow, Outcome.UNKNOWN);
+				end(this.state, Outcome.UNKNOWN);
 			}
 			else if (failure == CallFailure.TIMED_OUT) {
-				end(this.flow, Outcome.LATE);
+				end(this.state, Outcome.LATE);
 			}
 			else {
-				end(this.flow, (this.flow.mayHaveRun) ? Outcome.FAILED : Outcome.NOT_RUN);
+				end(this.state, (this.state.mayHaveRun) ? Outcome.FAILED : Outcome.NOT_RUN);
 			}
 		}
 
--- a/bench/src/main/java/org/fulmargap/bench/FakeEndpoint.java
+++ b/bench/src/main/java/org/fulmargap/bench/FakeEndpoint.java
@@ -15,29 +15,30 @@
 import org.fulmargap.routing.LoadReport;
 
 /**
- * An endpoint with bounded concurrency, a bounded queue, a bounded prefix cache and a
- * cold start. While it is cold, calls beyond three times its present capacity fail and
- * keep it cold.
+ * Simulated endpoint with bounded concurrency, a bounded queue, a bounded prefix cache
+ * and a warm-up. The capacity of a cold endpoint starts at one call and doubles with each
+ * 1,500 ms in which it runs calls. A call that arrives during the warm-up, when three
+ * times the current capacity is running or queued, fails and restarts the warm-up.
  */
 final class FakeEndpoint {
 
-	private static final int CACHED_PREFIXES = 6;
+	private static final int MAX_CACHED_PREFIXES = 6;
 
 	private static final long WARM_UP_DOUBLING_MS = 1_500;
 
-	private static final long OVERLOAD_FAILURE_MS = 200;
+	private static final long OVERLOAD_FAILURE_DELAY_MS = 200;
 
-	private static final long CRASH_AFTER_MS = 50;
+	private static final long CRASH_DELAY_MS = 50;
 
-	private static final long RESTART_MS = 3_000;
+	private static final long RESTART_DELAY_MS = 3_000;
 
-	private final Clock clock;
+	private final VirtualClock clock;
 
 	private final String name;
 
 	private final EndpointSpec spec;
 
-	private final Tally tally;
+	private final RunStatistics statistics;
 
 	private final Deque<Call> queue = new ArrayDeque<>();
 
@@ -51,17 +52,17 @@
 
 	private long activeMs = Long.MAX_VALUE / 2;
 
-	private long countedToMs;
+	private long activityUpdatedMs;
 
-	private int slowness = 1;
+	private int slowdownFactor = 1;
 
 	private boolean losesAnswers;
 
-	FakeEndpoint(Clock clock, String name, EndpointSpec spec, Tally tally) {
+	FakeEndpoint(VirtualClock clock, String name, EndpointSpec spec, RunStatistics statistics) {
 		this.clock = clock;
 		this.name = name;
 		this.spec = spec;
-		this.tally = tally;
+		this.statistics = statistics;
 	}
 
 	String name() {
@@ -76,28 +77,28 @@
 		return this.name + "/" + this.incarnation;
 	}
 
-	void setSlowness(int slowness) {
-		this.slowness = slowness;
+	void setSlowdownFactor(int slowdownFactor) {
+		this.slowdownFactor = slowdownFactor;
 	}
 
 	void setLosesAnswers(boolean losesAnswers) {
 		this.losesAnswers = losesAnswers;
 	}
 
-	// Makes the endpoint cold without a restart.
+	// Restarts the warm-up and clears the prefix cache, without a new incarnation.
 	void becomeCold() {
-		countActivity();
+		updateActivity();
 		this.activeMs = 0;
 		this.cache.clear();
 	}
 
 	void stop() {
 		this.up = false;
-		List<Call> broken = new ArrayList<>(this.running);
-		broken.addAll(this.queue);
+		List<Call> interrupted = new ArrayList<>(this.running);
+		interrupted.addAll(this.queue);
 		this.queue.clear();
-		for (Call call : broken) {
-			finish(call);
+		for (Call call : interrupted) {
+			release(call);
 			call.listener.failed(CallFailure.CONNECTION_LOST);
 		}
 	}
@@ -109,45 +110,46 @@
 	}
 
 	private int capacity() {
-		countActivity();
+		updateActivity();
 		return (int) Math.min(this.spec.maxConcurrency(),
 				Math.pow(2, Math.min(30, this.activeMs / WARM_UP_DOUBLING_MS)));
 	}
 
-	private void countActivity() {
+	private void updateActivity() {
 		if (!this.running.isEmpty()) {
-			this.activeMs += this.clock.nowMs() - this.countedToMs;
+			this.activeMs += this.clock.nowMs() - this.activityUpdatedMs;
 		}
-		this.countedToMs = this.clock.nowMs();
+		this.activityUpdatedMs = this.clock.nowMs();
 	}
 
-	// Returns the load, or {@code null} if the endpoint is down.
-	LoadReport report() {
+	// Returns a load report, or null if the endpoint is down.
+	LoadReport loadReport() {
 		return (this.up) ? new LoadReport(incarnation(), this.running.size(), this.queue.size(), capacity(),
 				this.clock.nowMs(), List.of()) : null;
 	}
 
 	/**
-	 * Runs a call.
+	 * Queues a call, or lets it fail if the endpoint is down or overloaded.
 	 * @param request the request
 	 * @param listener receives the result once, unless the call is cancelled
-	 * @return the call, for cancelling it
+	 * @return the call, which can be passed to {@link #cancel}
 	 */
 	Call submit(Request request, Listener listener) {
 		Call call = new Call(request, listener);
 		if (!this.up) {
-			this.clock.after(1, () -> end(call, () -> listener.failed(CallFailure.CONNECT_FAILED)));
+			this.clock.scheduleAfter(1, () -> complete(call, () -> listener.failed(CallFailure.CONNECT_FAILED)));
 		}
 		else if (this.queue.size() >= 2 * this.spec.maxConcurrency()) {
-			this.clock.after(1, () -> end(call, () -> listener.failed(CallFailure.REJECTED)));
+			this.clock.scheduleAfter(1, () -> complete(call, () -> listener.failed(CallFailure.REJECTED)));
 		}
 		else if (capacity() < this.spec.maxConcurrency() && this.running.size() + this.queue.size() >= 3 * capacity()) {
 			this.activeMs = 0;
-			this.clock.after(OVERLOAD_FAILURE_MS, () -> end(call, () -> listener.failed(CallFailure.ERROR_STATUS)));
+			this.clock.scheduleAfter(OVERLOAD_FAILURE_DELAY_MS,
+					() -> complete(call, () -> listener.failed(CallFailure.ERROR_STATUS)));
 		}
 		else {
 			this.queue.add(call);
-			fill();
+			startQueuedCalls();
 		}
 		return call;
 	}
@@ -155,44 +157,44 @@
 	void cancel(Call call) {
 		call.ended = true;
 		this.queue.remove(call);
-		finish(call);
+		release(call);
 	}
 
-	private void fill() {
+	private void startQueuedCalls() {
 		while (this.up && !this.queue.isEmpty() && this.running.size() < capacity()) {
-			start(this.queue.poll());
+			execute(this.queue.poll());
 		}
 	}
 
-	private void start(Call call) {
-		countActivity();
+	private void execute(Call call) {
+		updateActivity();
 		this.running.add(call);
 		call.startedMs = this.clock.nowMs();
-		boolean prompt = this.spec.service().equals("generate");
-		int cached = 0;
-		if (prompt) {
-			cached = (this.cache.containsKey(call.request.prefix())) ? call.request.prefixTokens() : 0;
+		boolean hasPrompt = this.spec.service().equals("generate");
+		int cachedPrefixTokens = 0;
+		if (hasPrompt) {
+			cachedPrefixTokens = (this.cache.containsKey(call.request.prefix())) ? call.request.prefixTokens() : 0;
 			this.cache.put(call.request.prefix(), Boolean.TRUE);
-			if (this.cache.size() > CACHED_PREFIXES) {
+			if (this.cache.size() > MAX_CACHED_PREFIXES) {
 				Map.Entry<String, Boolean> eldest = this.cache.entrySet().iterator().next();
 				this.cache.remove(eldest.getKey());
 			}
-			this.tally.tokens(call.request.promptTokens() - cached + call.request.outputTokens());
+			this.statistics.addTokens(call.request.promptTokens() - cachedPrefixTokens + call.request.outputTokens());
 		}
-		this.tally.executed(call.request, this.spec.service());
-		if (prompt && call.request.crashes()) {
-			this.clock.after(CRASH_AFTER_MS, () -> {
+		this.statistics.recordExecution(call.request, this.spec.service());
+		if (hasPrompt && call.request.crashes()) {
+			this.clock.scheduleAfter(CRASH_DELAY_MS, () -> {
 				if (this.up && !call.ended) {
-					this.tally.crashed();
+					this.statistics.recordCrash();
 					stop();
-					this.clock.after(RESTART_MS, this::start);
+					this.clock.scheduleAfter(RESTART_DELAY_MS, this::start);
 				}
 			});
 		}
 		else {
-			int cachedTokens = cached;
-			long durationMs = this.slowness * call.request.stageMs(this.spec.service(), cached);
-			this.clock.after(durationMs, () -> end(call, () -> {
+			int cachedTokens = cachedPrefixTokens;
+			long durationMs = this.slowdownFactor * call.request.stageMs(this.spec.service(), cachedPrefixTokens);
+			this.clock.scheduleAfter(durationMs, () -> complete(call, () -> {
 				if (this.losesAnswers && call.request.losesAnswer() && this.spec.service().equals("action")) {
 					call.listener.failed(CallFailure.CONNECTION_LOST);
 				}
@@ -203,20 +205,20 @@
 		}
 	}
 
-	private void end(Call call, Runnable result) {
+	private void complete(Call call, Runnable result) {
 		if (!call.ended) {
-			finish(call);
+			release(call);
 			result.run();
 		}
 	}
 
-	private void finish(Call call) {
+	private void release(Call call) {
 		call.ended = true;
-		countActivity();
+		updateActivity();
 		if (this.running.remove(call)) {
-			this.tally.busy(this.spec.service(), this.clock.nowMs() - call.startedMs);
+			this.statistics.addBusyTime(this.spec.service(), this.clock.nowMs() - call.startedMs);
 		}
-		fill();
+		startQueuedCalls();
 	}
 
 	/**
--- a/bench/src/main/java/org/fulmargap/bench/Measure.java
+++ b/bench/src/main/java/org/fulmargap/bench/Measure.java
@@ -7,8 +7,8 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 
+import org.fulmargap.bench.Simulation.Policy;
 import org.fulmargap.bench.Workload.Request;
-import org.fulmargap.bench.World.Policy;
 import org.fulmargap.bench.capacity.CapacityCommand;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -17,20 +17,20 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Measures the policy and a baseline on the same arrivals in virtual time. The decisions
- * are made by the classes of module core; endpoints and the network between entry VMs are
- * fakes. The same seed gives the same output. See {@link Workload#bound} for how the
- * bound of the attainment is computed.
+ * Compares the policy of fulmargap with a baseline on the same workload, in a
+ * discrete-event simulation with virtual time. The policy uses the classes of module
+ * core; endpoints and the network between entry VMs are simulated. The same seed gives
+ * the same output. See {@link Workload#bound} for the bound of the attainment.
  */
 @Command(name = "measure", mixinStandardHelpOptions = true,
 		description = "Measures routing and admission policies in virtual time.")
 public final class Measure implements Callable<Integer> {
 
-	private static final long FULL_MS = 120_000;
+	private static final long FULL_DURATION_MS = 120_000;
 
-	private static final long QUICK_MS = 45_000;
+	private static final long QUICK_DURATION_MS = 45_000;
 
-	private static final int SEEDS = 3;
+	private static final int SEED_COUNT = 3;
 
 	@Spec
 	private CommandSpec spec;
@@ -48,15 +48,15 @@
 	}
 
 	/**
-	 * Runs the measurements and ends the process.
-	 * @param args the command line
+	 * Runs the measurements and exits the process.
+	 * @param args the command-line arguments
 	 */
 	public static void main(String[] args) {
 		System.exit(commandLine().execute(args));
 	}
 
 	/**
-	 * Creates the command line, to which subcommands are added here.
+	 * Creates the command line with its subcommands.
 	 * @return the command line
 	 */
 	static CommandLine commandLine() {
@@ -74,28 +74,28 @@
 	}
 
 	private void measure(Scenario scenario, PrintWriter out) {
-		long durationMs = (this.quick) ? QUICK_MS : FULL_MS;
+		long durationMs = (this.quick) ? QUICK_DURATION_MS : FULL_DURATION_MS;
 		List<String> charts = new ArrayList<>();
 		for (Policy policy : Policy.values()) {
 			DoubleSummaryStatistics attainment = new DoubleSummaryStatistics();
 			DoubleSummaryStatistics cost = new DoubleSummaryStatistics();
-			DoubleSummaryStatistics ofBound = new DoubleSummaryStatistics();
-			int lost = 0;
-			long doubled = 0;
-			for (long s = this.seed; s < this.seed + SEEDS; s++) {
-				List<Request> requests = Workload.requests(scenario, s, durationMs);
+			DoubleSummaryStatistics fractionOfBound = new DoubleSummaryStatistics();
+			int lostRequests = 0;
+			long repeatedActions = 0;
+			for (long runSeed = this.seed; runSeed < this.seed + SEED_COUNT; runSeed++) {
+				List<Request> requests = Workload.requests(scenario, runSeed, durationMs);
 				double bound = Workload.bound(scenario, requests, durationMs);
-				Tally tally = new World(policy, s, durationMs).run(scenario, requests);
-				attainment.accept(tally.attainment());
-				cost.accept(tally.cost("generate"));
-				ofBound.accept(tally.attainment() / bound);
-				lost += tally.lost();
-				doubled += tally.doubled();
+				RunStatistics statistics = new Simulation(policy, runSeed, durationMs).run(scenario, requests);
+				attainment.accept(statistics.attainment());
+				cost.accept(statistics.cost("generate"));
+				fractionOfBound.accept(statistics.attainment() / bound);
+				lostRequests += statistics.countLostRequests();
+				repeatedActions += statistics.countRepeatedActions();
 				out.printf(Locale.ROOT, "scenario=%s policy=%s seed=%d %s bound=%.4f%n", scenario.label(),
-						policy.label(), s, tally.line(), bound);
-				if (scenario == Scenario.DOMAIN_OUT_AND_BACK && s == this.seed) {
+						policy.label(), runSeed, statistics.toOutputLine(), bound);
+				if (scenario == Scenario.DOMAIN_OUT_AND_BACK && runSeed == this.seed) {
 					charts.add(String.format("chart=%s policy=%-9s |%s|", scenario.label(), policy.label(),
-							tally.chart()));
+							statistics.chart()));
 				}
 			}
 			out.printf(Locale.ROOT,
@@ -103,7 +103,8 @@
 							+ "of_bound_min=%.4f cost_generate_mean=%.1f cost_generate_min=%.1f "
 							+ "cost_generate_max=%.1f lost=%d doubled=%d%n",
 					scenario.label(), policy.label(), attainment.getAverage(), attainment.getMin(), attainment.getMax(),
-					ofBound.getMin(), cost.getAverage(), cost.getMin(), cost.getMax(), lost, doubled);
+					fractionOfBound.getMin(), cost.getAverage(), cost.getMin(), cost.getMax(), lostRequests,
+					repeatedActions);
 		}
 		charts.forEach(out::println);
 		if (!charts.isEmpty()) {
--- a/bench/src/main/java/org/fulmargap/bench/PolicyVm.java
+++ b/bench/src/main/java/org/fulmargap/bench/PolicyVm.java
@@ -12,7 +12,7 @@
 import org.fulmargap.admission.FairAdmission;
 import org.fulmargap.admission.RetryBudget;
 import org.fulmargap.admission.StageBudgets;
-import org.fulmargap.bench.Tally.Outcome;
+import org.fulmargap.bench.RunStatistics.Outcome;
 import org.fulmargap.request.FulmargapException;
 import org.fulmargap.request.Priority;
 import org.fulmargap.routing.AdaptiveRouter;
@@ -25,13 +25,13 @@
 import org.fulmargap.routing.RouterSettings;
 
 /**
- * The policy: the classes of module core, as the server assembles them.
+ * Entry VM that applies the classes of module core, combined as in the server.
  */
 final class PolicyVm extends EntryVm {
 
-	private static final long CLAIM_MS = 10;
+	private static final long CLAIM_LATENCY_MS = 10;
 
-	private static final long CLAIM_AGAIN_MS = 50;
+	private static final long CLAIM_RETRY_MS = 50;
 
 	private final AdaptiveRouter router;
 
@@ -45,159 +45,159 @@
 
 	private final Map<String, String> incarnations = new HashMap<>();
 
-	PolicyVm(World world, int index, long seed) {
-		super(world);
-		this.router = new AdaptiveRouter(new RouterSettings(World.vm(index),
+	PolicyVm(Simulation simulation, int index, long seed) {
+		super(simulation);
+		this.router = new AdaptiveRouter(new RouterSettings(Simulation.vmName(index),
 				Workload.DOMAINS.get(index % Workload.DOMAINS.size()), 1, 2_000, seed + index));
 		this.budgets = new StageBudgets(this.router::expectedStageMs);
-		world.configuration()
+		simulation.configuration()
 			.pipelines()
 			.keySet()
 			.forEach((pipeline) -> this.admissions.put(pipeline, new FairAdmission(1, 200, 1_000)));
-		update(Set.of());
+		setUnavailableEndpoints(Set.of());
 	}
 
 	@Override
-	void update(Set<String> unavailable) {
-		this.router.update(this.world.configuration(), unavailable, this.world.vmNames(), this.clock.nowMs());
-		tick();
+	void setUnavailableEndpoints(Set<String> unavailable) {
+		this.router.update(this.simulation.configuration(), unavailable, this.simulation.vmNames(), this.clock.nowMs());
+		updateAdmission();
 	}
 
-	// Adapts the slots and refuses requests that cannot be answered in time.
-	void tick() {
+	// Updates the number of slots and refuses waiting requests that are not expected to
+	// meet their deadline.
+	void updateAdmission() {
 		long nowMs = this.clock.nowMs();
 		this.admissions.forEach((name, admission) -> {
-			admission.setSlots(this.budgets.slots(this.world.configuration().pipelines().get(name),
+			admission.setSlots(this.budgets.slots(this.simulation.configuration().pipelines().get(name),
 					(service) -> this.router.concurrencyShare(service, nowMs)), nowMs);
 			admission.expire(nowMs);
 		});
 	}
 
-	void heartbeat(PolicyVm peer) {
+	void sendHeartbeat(PolicyVm peer) {
 		peer.router.mergeWarmUpStarts(this.router.warmUpStarts(), this.clock.nowMs());
 		peer.quarantine.mergeCrashReports(this.quarantine.crashReports(this.clock.nowMs()), this.clock.nowMs());
 	}
 
 	/**
-	 * Receives the result of a load poll.
+	 * Records the result of a load poll.
 	 * @param endpoint the name of the endpoint
 	 * @param report the report, or {@code null} if the endpoint refused the connection
 	 */
-	void polled(String endpoint, LoadReport report) {
+	void receiveLoadReport(String endpoint, LoadReport report) {
 		if (report == null) {
-			crashSeen(endpoint);
+			confirmCrash(endpoint);
 			return;
 		}
-		incarnationSeen(endpoint, report.incarnation());
+		recordIncarnation(endpoint, report.incarnation());
 		this.router.observeLoad(endpoint, report, this.clock.nowMs());
 	}
 
-	private void incarnationSeen(String endpoint, String incarnation) {
-		String former = this.incarnations.put(endpoint, incarnation);
-		if (former != null && !former.equals(incarnation)) {
-			crashSeen(endpoint);
+	private void recordIncarnation(String endpoint, String incarnation) {
+		String previous = this.incarnations.put(endpoint, incarnation);
+		if (previous != null && !previous.equals(incarnation)) {
+			confirmCrash(endpoint);
 		}
 	}
 
-	private void crashSeen(String endpoint) {
-		Map<String, List<String>> strikes = this.quarantine.confirmCrash(endpoint, this.clock.nowMs());
-		if (!strikes.isEmpty()) {
-			this.clock.after(1, () -> this.world
-				.policyVms((peer) -> peer.quarantine.mergeCrashReports(strikes, this.clock.nowMs())));
+	private void confirmCrash(String endpoint) {
+		Map<String, List<String>> crashReports = this.quarantine.confirmCrash(endpoint, this.clock.nowMs());
+		if (!crashReports.isEmpty()) {
+			this.clock.scheduleAfter(1, () -> this.simulation
+				.forEachPolicyVm((peer) -> peer.quarantine.mergeCrashReports(crashReports, this.clock.nowMs())));
 		}
 	}
 
 	@Override
-	void begin(Flow flow) {
-		if (flow.request.idempotent()) {
-			admit(flow);
+	void begin(RequestState state) {
+		if (state.request.idempotent()) {
+			admit(state);
 		}
 		else {
-			claim(flow);
+			claim(state);
 		}
 	}
 
-	private void claim(Flow flow) {
-		if (this.world.isLogUp()) {
-			this.clock.after(CLAIM_MS, () -> admit(flow));
+	private void claim(RequestState state) {
+		if (this.simulation.isLogAvailable()) {
+			this.clock.scheduleAfter(CLAIM_LATENCY_MS, () -> admit(state));
 		}
-		else if (flow.deadline.remainingMs(this.clock.nowMs()) <= this.budgets.expectedMs(flow.pipeline, 0)
-				+ CLAIM_MS) {
-			end(flow, Outcome.NOT_RUN);
+		else if (state.deadline.remainingMs(this.clock.nowMs()) <= this.budgets.expectedMs(state.pipeline, 0)
+				+ CLAIM_LATENCY_MS) {
+			end(state, Outcome.NOT_RUN);
 		}
 		else {
-			this.clock.after(CLAIM_AGAIN_MS, () -> claim(flow));
+			this.clock.scheduleAfter(CLAIM_RETRY_MS, () -> claim(state));
 		}
 	}
 
-	private void admit(Flow flow) {
-		if (!this.quarantine.verdict(flow.request.fingerprint(), this.clock.nowMs()).mayRun()) {
-			end(flow, Outcome.FAILED);
+	private void admit(RequestState state) {
+		if (!this.quarantine.verdict(state.request.fingerprint(), this.clock.nowMs()).mayRun()) {
+			end(state, Outcome.FAILED);
 			return;
 		}
-		AdmissionRequest request = new AdmissionRequest(flow.request.account(), flow.request.weight(), Priority.NORMAL,
-				flow.deadline, this.budgets.expectedMs(flow.pipeline, 0));
-		this.admissions.get(flow.request.pipeline()).admit(request, this.clock.nowMs(), new AdmissionListener() {
+		AdmissionRequest request = new AdmissionRequest(state.request.account(), state.request.weight(),
+				Priority.NORMAL, state.deadline, this.budgets.expectedMs(state.pipeline, 0));
+		this.admissions.get(state.request.pipeline()).admit(request, this.clock.nowMs(), new AdmissionListener() {
 
 			@Override
 			public void admitted(Permit permit) {
-				flow.permit = permit;
-				startStage(flow);
+				state.permit = permit;
+				startStage(state);
 			}
 
 			@Override
 			public void refused(FulmargapException refusal) {
-				end(flow, Outcome.NOT_RUN);
+				end(state, Outcome.NOT_RUN);
 			}
 
 		});
 	}
 
 	@Override
-	Optional<Reservation> choose(Flow flow) {
+	Optional<Reservation> selectEndpoint(RequestState state) {
 		long nowMs = this.clock.nowMs();
-		String fingerprint = flow.request.fingerprint();
+		String fingerprint = state.request.fingerprint();
 		Verdict verdict = this.quarantine.verdict(fingerprint, nowMs);
 		if (!verdict.mayRun()) {
-			end(flow, Outcome.FAILED);
+			end(state, Outcome.FAILED);
 			return Optional.empty();
 		}
-		if (flow.attempts == 0) {
-			this.retryBudget.recordFirstAttempt(flow.service());
+		if (state.attempts == 0) {
+			this.retryBudget.recordFirstAttempt(state.service());
 		}
-		Set<String> excluded = new HashSet<>(flow.excluded);
-		excluded.addAll(this.quarantine.suspectedEndpoints(fingerprint, nowMs));
-		boolean prompt = flow.service().equals("generate");
-		return this.router.select(
-				new RouteRequest(flow.service(), (prompt) ? flow.request.prefix() : "",
-						(prompt) ? flow.request.promptTokens() : 0, excluded, verdict == Verdict.ISOLATED, false),
+		Set<String> excludedEndpoints = new HashSet<>(state.excludedEndpoints);
+		excludedEndpoints.addAll(this.quarantine.suspectedEndpoints(fingerprint, nowMs));
+		boolean hasPrompt = state.service().equals("generate");
+		return this.router.select(new RouteRequest(state.service(), (hasPrompt) ? state.request.prefix() : "",
+				(hasPrompt) ? state.request.promptTokens() : 0, excludedEndpoints, verdict == Verdict.ISOLATED, false),
 				nowMs);
 	}
 
 	@Override
-	long limitMs(Flow flow) {
-		return this.budgets.limitMs(flow.pipeline, flow.stage, flow.deadline, this.clock.nowMs());
+	long limitMs(RequestState state) {
+		return this.budgets.limitMs(state.pipeline, state.stage, state.deadline, this.clock.nowMs());
 	}
 
 	@Override
-	boolean retries(Flow flow, String endpoint, CallFailure failure) {
+	boolean shouldRetry(RequestState state, String endpoint, CallFailure failure) {
 		if (failure == CallFailure.CONNECTION_LOST) {
-			this.quarantine.connectionLost(endpoint, flow.request.fingerprint(), this.clock.nowMs());
-			// A new connection shows at once whether the endpoint is gone.
-			if (this.world.endpoint(endpoint).report() == null) {
-				crashSeen(endpoint);
+			this.quarantine.connectionLost(endpoint, state.request.fingerprint(), this.clock.nowMs());
+			// A new connection attempt shows immediately whether the endpoint is down.
+			if (this.simulation.endpoint(endpoint).loadReport() == null) {
+				confirmCrash(endpoint);
 			}
 		}
 		else if (failure == CallFailure.CONNECT_FAILED) {
-			crashSeen(endpoint);
+			confirmCrash(endpoint);
 		}
-		return (flow.request.idempotent() || !flow.mayHaveRun)
-				&& this.retryBudget.tryRetry(flow.service(), flow.attempts);
+		return (state.request.idempotent() || !state.mayHaveRun)
+				&& this.retryBudget.tryRetry(state.service(), state.attempts);
 	}
 
 	@Override
-	void completed(Flow flow) {
-		this.quarantine.completed(flow.request.fingerprint());
+	void completed(RequestState state) {
+		this.quarantine.completed(state.request.fingerprint());
 	}
 
 }
--- a/bench/src/main/java/org/fulmargap/bench/Clock.java
+++ b/bench/src/main/java/org/fulmargap/bench/VirtualClock.java
@@ -3,10 +3,10 @@
 import java.util.PriorityQueue;
 
 /**
- * Virtual time. Tasks run in the order of their times, and of their scheduling when the
- * times are equal.
+ * Virtual clock of a discrete-event simulation. Tasks run in the order of their times;
+ * tasks with equal times run in the order in which they were scheduled.
  */
-final class Clock {
+final class VirtualClock {
 
 	private final PriorityQueue<Task> tasks = new PriorityQueue<>();
 
@@ -18,18 +18,18 @@
 		return this.nowMs;
 	}
 
-	void at(long atMs, Runnable action) {
+	void scheduleAt(long atMs, Runnable action) {
 		this.tasks.add(new Task(Math.max(atMs, this.nowMs), this.sequence++, action));
 	}
 
-	void after(long delayMs, Runnable action) {
-		at(this.nowMs + delayMs, action);
+	void scheduleAfter(long delayMs, Runnable action) {
+		scheduleAt(this.nowMs + delayMs, action);
 	}
 
-	void every(long periodMs, long untilMs, Runnable action) {
+	void scheduleEvery(long periodMs, long untilMs, Runnable action) {
 		if (this.nowMs < untilMs) {
 			action.run();
-			after(periodMs, () -> every(periodMs, untilMs, action));
+			scheduleAfter(periodMs, () -> scheduleEvery(periodMs, untilMs, action));
 		}
 	}
 
--- a/bench/src/main/java/org/fulmargap/bench/Workload.java
+++ b/bench/src/main/java/org/fulmargap/bench/Workload.java
@@ -13,7 +13,8 @@
 import org.fulmargap.config.StageSpec;
 
 /**
- * The endpoints, pipelines and requests of today's size.
+ * Endpoints, pipelines and requests of a simulation run, at the current size of the
+ * users' deployments.
  */
 final class Workload {
 
@@ -33,14 +34,14 @@
 
 	private static final int NON_IDEMPOTENT_PERCENT = 15;
 
-	// Requests per second that use 55 percent of the model servers, so that two of three
-	// failure domains can do the work: 128 slots and 1,060 ms for each of the 85 percent
-	// that generate.
+	// Requests per second that use 55 percent of the slots of the model servers, so that
+	// two of three failure domains can serve the load. Each of the 85 percent of requests
+	// that generate occupies one of 128 slots for 1,060 ms.
 	private static final int STEADY_RATE = 78;
 
 	private static final int GENERATE_SLOTS = 128;
 
-	/** Two large and three small client accounts, by percent of the arrivals. */
+	/** Two large and three small client accounts, in percent of the arrivals. */
 	private static final int[] ACCOUNT_PERCENT = { 35, 35, 10, 10, 10 };
 
 	private static final int[] ACCOUNT_WEIGHT = { 4, 4, 1, 1, 1 };
@@ -50,11 +51,11 @@
 
 	static Configuration configuration() {
 		Map<String, EndpointSpec> endpoints = new TreeMap<>();
-		add(endpoints, "generate", 8, 16);
-		add(endpoints, "encode", 4, 8);
-		add(endpoints, "retrieve", 4, 8);
-		add(endpoints, "rerank", 4, 8);
-		add(endpoints, "action", 2, 8);
+		addEndpoints(endpoints, "generate", 8, 16);
+		addEndpoints(endpoints, "encode", 4, 8);
+		addEndpoints(endpoints, "retrieve", 4, 8);
+		addEndpoints(endpoints, "rerank", 4, 8);
+		addEndpoints(endpoints, "action", 2, 8);
 		StageSpec encode = new StageSpec("encode", StageKind.ENCODE, "encode", 0);
 		PipelineSpec chat = new PipelineSpec(true, DEADLINE_MS,
 				List.of(encode, new StageSpec("retrieve", StageKind.RETRIEVE, "retrieve", 0),
@@ -65,24 +66,25 @@
 		return new Configuration(Map.of("chat", chat, "push", push), Map.of(), endpoints);
 	}
 
-	private static void add(Map<String, EndpointSpec> endpoints, String service, int count, int concurrency) {
+	private static void addEndpoints(Map<String, EndpointSpec> endpoints, String service, int count, int concurrency) {
 		for (int i = 0; i < count; i++) {
 			endpoints.put(service + "-" + i,
 					new EndpointSpec(service, DOMAINS.get(i % DOMAINS.size()), "http://fake", concurrency, null));
 		}
 	}
 
-	// Tells whether an endpoint reports its load: the model servers and 11 of the 14
-	// neighbours do.
+	// Returns whether an endpoint reports its load. All model servers and 11 of the 14
+	// other endpoints do.
 	static boolean reportsLoad(String endpoint) {
 		return !endpoint.equals("encode-3") && !endpoint.equals("retrieve-3") && !endpoint.equals("action-1");
 	}
 
 	/**
-	 * Draws the requests of a run.
-	 * @param scenario the scenario, which sets the rate
-	 * @param seed the seed
-	 * @param durationMs the time in which requests arrive
+	 * Generates the requests of a run. The times between arrivals are exponentially
+	 * distributed.
+	 * @param scenario the scenario, which determines the rate
+	 * @param seed the seed of the random numbers
+	 * @param durationMs the time in which requests arrive, in milliseconds
 	 * @return the requests in the order of arrival
 	 */
 	static List<Request> requests(Scenario scenario, long seed, long durationMs) {
@@ -95,10 +97,10 @@
 			if (atMs >= durationMs) {
 				return requests;
 			}
-			int draw = random.nextInt(100);
+			int randomPercent = random.nextInt(100);
 			int account = 0;
-			while (draw >= ACCOUNT_PERCENT[account]) {
-				draw -= ACCOUNT_PERCENT[account++];
+			while (randomPercent >= ACCOUNT_PERCENT[account]) {
+				randomPercent -= ACCOUNT_PERCENT[account++];
 			}
 			boolean idempotent = random.nextInt(100) >= NON_IDEMPOTENT_PERCENT;
 			int prefix = (int) (PREFIXES * random.nextDouble() * random.nextDouble());
@@ -110,15 +112,17 @@
 	}
 
 	/**
-	 * Computes the part of the requests that the capacity allows to answer. The model
-	 * servers count as one pool of slots that loses no time and finds each prefix in its
-	 * cache. In the order of arrival, a request counts as answered if the work accepted
-	 * so far and its own fit into the slots before its deadline. Requests that do not
-	 * generate always count. A policy that prefers short requests could exceed the bound.
+	 * Computes a bound of the attainment: the fraction of the requests that can be
+	 * answered in time with the available capacity. The model servers are treated as one
+	 * pool of slots that works without overhead and has each prefix in its cache. The
+	 * requests are taken in the order of arrival. A request counts as answered if the
+	 * slots can complete the accepted work that is left and its own work within the
+	 * deadline. Requests without a generate stage always count as answered. A policy that
+	 * prefers short requests could exceed the bound.
 	 * @param scenario the scenario
-	 * @param requests the requests
-	 * @param durationMs the time in which they arrive
-	 * @return the bound of the attainment
+	 * @param requests the requests in the order of arrival
+	 * @param durationMs the time in which they arrive, in milliseconds
+	 * @return the bound, from 0 to 1
 	 */
 	static double bound(Scenario scenario, List<Request> requests, long durationMs) {
 		double backlogMs = 0;
@@ -140,24 +144,25 @@
 	/**
 	 * One request.
 	 *
-	 * @param id its number
-	 * @param atMs when it arrives
+	 * @param id the number of the request
+	 * @param atMs the time of arrival in milliseconds of virtual time
 	 * @param account the client account
 	 * @param weight the weight of the account
 	 * @param pipeline the pipeline
 	 * @param idempotent whether it may run more than once
-	 * @param prefix the prefix of its prompt
-	 * @param prefixTokens the length of the prefix
-	 * @param promptTokens the length of the prompt
-	 * @param outputTokens the length of the answer
-	 * @param vm the entry VM that the load balancer selects
-	 * @param percent the duration of its plain stages, in percent of the mean
-	 * @param losesAnswer whether the answer of its action is lost, in scenarios in which
-	 * connections break
+	 * @param prefix the name of the prefix of its prompt
+	 * @param prefixTokens the length of the prefix in tokens
+	 * @param promptTokens the length of the prompt in tokens, including the prefix
+	 * @param outputTokens the length of the answer in tokens
+	 * @param vm the index of the entry VM that receives the request
+	 * @param durationPercent the duration of all stages except generate, in percent of
+	 * the mean
+	 * @param losesAnswer whether the answer of its action is lost in scenarios in which
+	 * answers are lost
 	 * @param crashes whether it crashes the model server that runs it
 	 */
 	record Request(int id, long atMs, String account, int weight, String pipeline, boolean idempotent, String prefix,
-			int prefixTokens, int promptTokens, int outputTokens, int vm, int percent, boolean losesAnswer,
+			int prefixTokens, int promptTokens, int outputTokens, int vm, int durationPercent, boolean losesAnswer,
 			boolean crashes) {
 
 		String fingerprint() {
@@ -168,9 +173,9 @@
 			return switch (service) {
 				case "generate" -> (long) ((this.promptTokens - cachedTokens) * MS_PER_PROMPT_TOKEN)
 						+ (long) this.outputTokens * MS_PER_OUTPUT_TOKEN;
-				case "encode" -> 10L * this.percent / 100;
-				case "retrieve" -> 15L * this.percent / 100;
-				default -> 30L * this.percent / 100;
+				case "encode" -> 10L * this.durationPercent / 100;
+				case "retrieve" -> 15L * this.durationPercent / 100;
+				default -> 30L * this.durationPercent / 100;
 			};
 		}
 
--- a/bench/src/main/java/org/fulmargap/bench/capacity/CapacityCommand.java
+++ b/bench/src/main/java/org/fulmargap/bench/capacity/CapacityCommand.java
@@ -13,7 +13,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Prints what each kind of control state costs at several sizes, and the fitted slopes.
+ * Prints the measured cost of each kind of control state at several sizes, and a
+ * least-squares fit of the cost over the size.
  */
 @Command(name = "capacity", mixinStandardHelpOptions = true,
 		description = "Measures heap, time and bytes of control state at several sizes.")
@@ -29,15 +30,16 @@
 	public Integer call() {
 		PrintWriter out = this.spec.commandLine().getOut();
 		for (StateKind kind : this.kinds) {
-			report(kind, out);
+			printCosts(kind, out);
 			out.flush();
 		}
 		return 0;
 	}
 
-	private void report(StateKind kind, PrintWriter out) {
+	private void printCosts(StateKind kind, PrintWriter out) {
 		int[] sizes = kind.sizes();
-		// Compiles the code under test, so that the first size is not measured slower.
+		// Warm-up run, which lets the JIT compile the measured code. Without it, the
+		// figures of the first size would be too high.
 		kind.measure(sizes[sizes.length - 1]);
 		List<Cost> costs = new ArrayList<>();
 		for (int size : sizes) {
@@ -46,20 +48,20 @@
 			out.printf(Locale.ROOT, "state=%s size=%d heap_bytes=%.0f operation_us=%.2f wire_bytes=%.0f%n", name(kind),
 					size, cost.heapBytes(), cost.operationMicros(), cost.wireBytes());
 		}
-		print(kind, "heap_bytes", sizes, costs, Cost::heapBytes, out);
-		print(kind, "operation_us", sizes, costs, Cost::operationMicros, out);
-		print(kind, "wire_bytes", sizes, costs, Cost::wireBytes, out);
+		printFit(kind, "heap_bytes", sizes, costs, Cost::heapBytes, out);
+		printFit(kind, "operation_us", sizes, costs, Cost::operationMicros, out);
+		printFit(kind, "wire_bytes", sizes, costs, Cost::wireBytes, out);
 	}
 
-	private void print(StateKind kind, String quantity, int[] sizes, List<Cost> costs, ToDoubleFunction<Cost> value,
+	private void printFit(StateKind kind, String quantity, int[] sizes, List<Cost> costs, ToDoubleFunction<Cost> value,
 			PrintWriter out) {
-		List<Slope.Point> points = new ArrayList<>();
+		List<LinearFit.Point> points = new ArrayList<>();
 		for (int i = 0; i < sizes.length; i++) {
-			points.add(new Slope.Point(sizes[i], value.applyAsDouble(costs.get(i))));
+			points.add(new LinearFit.Point(sizes[i], value.applyAsDouble(costs.get(i))));
 		}
-		Slope slope = Slope.fit(points);
+		LinearFit fit = LinearFit.fit(points);
 		out.printf(Locale.ROOT, "fit=%s quantity=%s unit=\"%s\" intercept=%.2f per_unit=%.4f r2=%.4f%n", name(kind),
-				quantity, kind.unit(), slope.intercept(), slope.perUnit(), slope.rSquared());
+				quantity, kind.unit(), fit.intercept(), fit.slope(), fit.rSquared());
 	}
 
 	private static String name(StateKind kind) {
--- a/bench/src/main/java/org/fulmargap/bench/capacity/Cost.java
+++ b/bench/src/main/java/org/fulmargap/bench/capacity/Cost.java
@@ -1,11 +1,11 @@
 package org.fulmargap.bench.capacity;
 
 /**
- * Cost of one kind of state at one size.
+ * Measured cost of one kind of control state at one size.
  *
- * @param heapBytes bytes of heap that the state retains, zero if it retains none
- * @param operationMicros microseconds of one operation on the state
- * @param wireBytes bytes of its message or record, zero if it has none
+ * @param heapBytes the heap that the state retains in bytes, zero if it is not measured
+ * @param operationMicros the duration of one operation on the state in microseconds
+ * @param wireBytes the size of its message or record in bytes, zero if it has none
  */
 record Cost(double heapBytes, double operationMicros, double wireBytes) {
 
--- a/bench/src/main/java/org/fulmargap/bench/capacity/Slope.java
+++ b/bench/src/main/java/org/fulmargap/bench/capacity/LinearFit.java
@@ -3,20 +3,22 @@
 import java.util.List;
 
 /**
- * Least-squares line through measured points.
+ * Least-squares fit of a line to measured points.
  *
  * @param intercept the value at size zero
- * @param perUnit the growth per unit of size
- * @param rSquared the share of the variance that the line explains, from 0 to 1
+ * @param slope the increase of the value per unit of size
+ * @param rSquared the coefficient of determination, from 0 to 1
  */
-record Slope(double intercept, double perUnit, double rSquared) {
+record LinearFit(double intercept, double slope, double rSquared) {
 
 	/**
-	 * Fits a line.
-	 * @param points at least two points with different sizes
-	 * @return the line
+	 * Fits a line to points.
+	 * @param points at least two points, not all of the same size
+	 * @return the fitted line
+	 * @throws IllegalArgumentException if there are fewer than two points or all have the
+	 * same size
 	 */
-	static Slope fit(List<Point> points) {
+	static LinearFit fit(List<Point> points) {
 		if (points.size() < 2) {
 			throw new IllegalArgumentException("a fit needs at least two points");
 		}
@@ -35,9 +37,9 @@
 		if (sxx == 0) {
 			throw new IllegalArgumentException("all points have the same size");
 		}
-		double perUnit = sxy / sxx;
+		double slope = sxy / sxx;
 		double rSquared = (syy == 0) ? 1 : sxy * sxy / (sxx * syy);
-		return new Slope(meanY - perUnit * meanX, perUnit, rSquared);
+		return new LinearFit(meanY - slope * meanX, slope, rSquared);
 	}
 
 	/**
--- a/bench/src/main/java/org/fulmargap/bench/capacity/Meter.java
+++ b/bench/src/main/java/org/fulmargap/bench/capacity/Meter.java
@@ -9,7 +9,7 @@
  */
 final class Meter {
 
-	private static final int COLLECTIONS = 4;
+	private static final int GC_RUNS = 4;
 
 	private static final int ROUNDS = 7;
 
@@ -17,27 +17,27 @@
 	}
 
 	/**
-	 * Builds an object and measures the heap that it retains.
+	 * Creates an object and measures the heap that it retains.
 	 * @param <T> the type of the object
-	 * @param supplier builds the object
-	 * @return the object and its bytes
+	 * @param supplier creates the object
+	 * @return the object and the retained heap
 	 */
-	static <T> Retained<T> retained(Supplier<T> supplier) {
-		long before = usedBytes();
+	static <T> Retained<T> measureRetained(Supplier<T> supplier) {
+		long usedBefore = usedHeapBytes();
 		T object = supplier.get();
-		long after = usedBytes();
+		long usedAfter = usedHeapBytes();
 		Reference.reachabilityFence(object);
-		return new Retained<>(object, Math.max(0, after - before));
+		return new Retained<>(object, Math.max(0, usedAfter - usedBefore));
 	}
 
 	/**
-	 * Measures the duration of an operation. The median of several rounds counts, so that
-	 * a pause of the collector in one round has no effect.
+	 * Measures the duration of an operation as the median of several rounds, so that a
+	 * garbage collection pause in one round has no effect.
 	 * @param operation the operation
-	 * @param repetitions how often each round runs it
-	 * @return microseconds per operation
+	 * @param repetitions the number of repetitions per round
+	 * @return the duration of one operation in microseconds
 	 */
-	static double micros(Operation operation, int repetitions) {
+	static double medianMicros(Operation operation, int repetitions) {
 		double[] rounds = new double[ROUNDS];
 		for (int round = 0; round < ROUNDS; round++) {
 			long startNanos = System.nanoTime();
@@ -50,8 +50,8 @@
 		return rounds[ROUNDS / 2];
 	}
 
-	private static long usedBytes() {
-		for (int i = 0; i < COLLECTIONS; i++) {
+	private static long usedHeapBytes() {
+		for (int i = 0; i < GC_RUNS; i++) {
 			System.gc();
 		}
 		Runtime runtime = Runtime.getRuntime();
@@ -59,13 +59,13 @@
 	}
 
 	/**
-	 * An operation that is repeated.
+	 * An operation whose duration is measured.
 	 */
 	interface Operation {
 
 		/**
 		 * Runs the operation.
-		 * @param index the number of the repetition, from zero
+		 * @param index the number of the repetition, counted from zero over all rounds
 		 */
 		void run(int index);
 
@@ -76,7 +76,7 @@
 	 *
 	 * @param <T> the type of the object
 	 * @param object the object
-	 * @param bytes the retained bytes
+	 * @param bytes the retained heap in bytes
 	 */
 	record Retained<T>(T object, long bytes) {
 	}
--- a/bench/src/main/java/org/fulmargap/bench/capacity/StateKind.java
+++ b/bench/src/main/java/org/fulmargap/bench/capacity/StateKind.java
@@ -41,22 +41,25 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Kinds of state whose cost grows with the size of the system.
+ * Kinds of control state whose cost grows with the size of the system.
  */
 enum StateKind {
 
-	/** The configuration ledger; the operation is a patch of one account with commit. */
+	/**
+	 * The configuration ledger; the operation proposes and commits a patch of one account
+	 * and reads the configuration.
+	 */
 	ACCOUNT("client account", 1_000, 4_000, 11_000) {
 
 		@Override
 		Cost measure(int size) {
-			JsonNode document = document(size);
-			Meter.Retained<ConfigLedger> ledger = Meter.retained(() -> ledgerWith(document.deepCopy()));
+			JsonNode document = configurationDocument(size);
+			Meter.Retained<ConfigLedger> ledger = Meter.measureRetained(() -> configLedger(document.deepCopy()));
 			long[] offset = { ledger.object().nextOffset() };
-			double micros = Meter.micros((i) -> {
+			double micros = Meter.medianMicros((i) -> {
 				ObjectNode patch = Json.mapper().createObjectNode();
-				patch.putObject("accounts").set("account-" + i, account(2));
-				commit(ledger.object(), "p" + i, patch, offset);
+				patch.putObject("accounts").set("account-" + i, accountNode(2));
+				proposeAndCommit(ledger.object(), "p" + i, patch, offset);
 				ledger.object().configuration();
 			}, 20);
 			return new Cost(ledger.bytes(), micros, jsonBytes(document));
@@ -64,18 +67,18 @@
 
 	},
 
-	/** The member list; the operation is the merge of one decoded heartbeat. */
+	/** The member list; the operation decodes and merges one heartbeat. */
 	MEMBER("entry VM", 7, 80, 320) {
 
 		@Override
 		Cost measure(int size) {
-			Meter.Retained<MembershipView> view = Meter.retained(() -> members(size));
+			Meter.Retained<MembershipView> view = Meter.measureRetained(() -> membershipView(size));
 			byte[][] frames = new byte[size][];
 			for (int i = 0; i < size; i++) {
-				frames[i] = msgpack(heartbeat(i, 0));
+				frames[i] = encodeHeartbeat(heartbeat(i, 0));
 			}
-			double micros = Meter.micros((i) -> {
-				Heartbeat heartbeat = read(frames[i % size]);
+			double micros = Meter.medianMicros((i) -> {
+				Heartbeat heartbeat = decodeHeartbeat(frames[i % size]);
 				view.object().receiveHeartbeat(heartbeat, NOW_MS + i);
 			}, 2_000);
 			return new Cost(view.bytes(), micros, frames[0].length);
@@ -92,21 +95,21 @@
 		@Override
 		Cost measure(int size) {
 			Heartbeat heartbeat = heartbeat(0, size);
-			double micros = Meter.micros((i) -> read(msgpack(heartbeat)), 2_000);
-			return new Cost(0, micros, msgpack(heartbeat).length);
+			double micros = Meter.medianMicros((i) -> decodeHeartbeat(encodeHeartbeat(heartbeat)), 2_000);
+			return new Cost(0, micros, encodeHeartbeat(heartbeat).length);
 		}
 
 	},
 
-	/** The router; the operation selects an endpoint and records its answer. */
+	/** The router; the operation selects an endpoint and records a successful call. */
 	ENDPOINT("endpoint", 30, 150, 600) {
 
 		@Override
 		Cost measure(int size) {
-			Configuration configuration = endpoints(size);
-			Meter.Retained<AdaptiveRouter> router = Meter.retained(() -> router(configuration));
+			Configuration configuration = configurationWithEndpoints(size);
+			Meter.Retained<AdaptiveRouter> router = Meter.measureRetained(() -> createRouter(configuration));
 			RouteRequest request = new RouteRequest("generator", "prefix", 200, Set.of(), false, false);
-			double micros = Meter.micros((i) -> {
+			double micros = Meter.medianMicros((i) -> {
 				try (Reservation reservation = router.object().select(request, NOW_MS + i).orElseThrow()) {
 					reservation.succeeded(100, 0, "e1", NOW_MS + i);
 				}
@@ -123,14 +126,14 @@
 
 		@Override
 		Cost measure(int size) {
-			AdaptiveRouter router = router(endpoints(30));
+			AdaptiveRouter router = createRouter(configurationWithEndpoints(30));
 			List<String> attempts = new ArrayList<>();
 			for (int i = 0; i < size; i++) {
 				attempts.add("vm-12-1796362379000/" + (100_000 + i) + "/3/0");
 			}
-			byte[] report = json(new LoadReport("generator-7-1796362379000", size, 0, 32, NOW_MS, attempts));
-			double micros = Meter.micros((i) -> router.observeLoad("endpoint-7", readReport(report), NOW_MS + i),
-					2_000);
+			byte[] report = encodeJson(new LoadReport("generator-7-1796362379000", size, 0, 32, NOW_MS, attempts));
+			double micros = Meter
+				.medianMicros((i) -> router.observeLoad("endpoint-7", decodeReport(report), NOW_MS + i), 2_000);
 			return new Cost(0, micros, report.length);
 		}
 
@@ -141,34 +144,34 @@
 
 		@Override
 		Cost measure(int size) {
-			Meter.Retained<ClaimLedger> ledger = Meter.retained(() -> claims(size));
+			Meter.Retained<ClaimLedger> ledger = Meter.measureRetained(() -> claimLedger(size));
 			long[] offset = { ledger.object().nextOffset() };
-			int[] next = { size };
+			int[] nextIndex = { size };
 			List<JsonNode> batches = new ArrayList<>();
 			for (int i = 0; i < 1_400; i++) {
-				batches.add(Json.mapper().valueToTree(ClaimBatch.toJson(claimAndOutcome(next[0]++))));
+				batches.add(Json.mapper().valueToTree(ClaimBatch.toJson(claimAndOutcome(nextIndex[0]++))));
 			}
-			double micros = Meter.micros((i) -> ledger.object().apply(offset[0]++, NOW_MS, batches.get(i), NOW_MS),
-					200);
+			double micros = Meter
+				.medianMicros((i) -> ledger.object().apply(offset[0]++, NOW_MS, batches.get(i), NOW_MS), 200);
 			return new Cost(ledger.bytes(), micros, jsonBytes(batches.get(0)));
 		}
 
 	},
 
-	/** Admission with this many accounts waiting; the operation admits and releases. */
+	/** Admission with this many waiting accounts; the operation queues a request. */
 	ACCOUNT_QUEUE("waiting client account", 100, 1_000, 11_000) {
 
 		@Override
 		Cost measure(int size) {
-			Meter.Retained<FairAdmission> admission = Meter.retained(() -> {
+			Meter.Retained<FairAdmission> admission = Meter.measureRetained(() -> {
 				FairAdmission fair = new FairAdmission(1, 10, 1_000_000);
 				for (int i = 0; i < size; i++) {
-					fair.admit(admissionRequest(i), NOW_MS, new Releasing());
+					fair.admit(admissionRequest(i), NOW_MS, new SlotHolder());
 				}
 				return fair;
 			});
 			double micros = Meter
-				.micros((i) -> admission.object().admit(admissionRequest(i % size), NOW_MS, new Releasing()), 5);
+				.medianMicros((i) -> admission.object().admit(admissionRequest(i % size), NOW_MS, new SlotHolder()), 5);
 			return new Cost(admission.bytes(), micros, 0);
 		}
 
@@ -189,8 +192,8 @@
 
 	/**
 	 * Measures the cost at one size.
-	 * @param size the number of units
-	 * @return the cost
+	 * @param size the size in units of this kind
+	 * @return the measured cost
 	 */
 	abstract Cost measure(int size);
 
@@ -202,33 +205,34 @@
 		return this.sizes.clone();
 	}
 
-	private static ConfigLedger ledgerWith(JsonNode document) {
+	private static ConfigLedger configLedger(JsonNode document) {
 		ConfigLedger ledger = new ConfigLedger();
 		ledger.observeBounds(0, 0);
-		commit(ledger, "initial", document, new long[] { 0 });
+		proposeAndCommit(ledger, "initial", document, new long[] { 0 });
 		ledger.configuration();
 		return ledger;
 	}
 
-	private static void commit(ConfigLedger ledger, String patchId, JsonNode patch, long[] offset) {
+	private static void proposeAndCommit(ConfigLedger ledger, String patchId, JsonNode patch, long[] offset) {
 		long version = ledger.state().version();
 		ledger.apply(offset[0]++, NOW_MS, new ConfigRecord.Propose(patchId, version, patch, NOW_MS).toJson());
 		ledger.apply(offset[0]++, NOW_MS, new ConfigRecord.Commit(patchId).toJson());
 		if (ledger.state().version() != version + 1) {
-			throw new IllegalStateException("patch " + patchId + " was refused: " + ledger.state().decision(patchId));
+			throw new IllegalStateException(
+					"patch " + patchId + " was not committed: " + ledger.state().decision(patchId));
 		}
 	}
 
-	private static JsonNode document(int accounts) {
+	private static JsonNode configurationDocument(int accounts) {
 		ObjectNode document = Json.mapper().createObjectNode();
 		ObjectNode accountsNode = document.putObject("accounts");
 		for (int i = 0; i < accounts; i++) {
-			accountsNode.set("account-" + i, account(1));
+			accountsNode.set("account-" + i, accountNode(1));
 		}
 		return document;
 	}
 
-	private static ObjectNode account(int weight) {
+	private static ObjectNode accountNode(int weight) {
 		return Json.mapper()
 			.createObjectNode()
 			.put("api_key_sha256", "0123456789abcdef".repeat(4))
@@ -241,7 +245,7 @@
 				"10.0." + i / 250 + "." + i % 250 + ":7003");
 	}
 
-	private static MembershipView members(int size) {
+	private static MembershipView membershipView(int size) {
 		MembershipView view = new MembershipView(hello(0), MembershipLimits.DEFAULTS, NOW_MS);
 		Map<String, Incarnation> joined = new TreeMap<>();
 		for (int i = 1; i < size; i++) {
@@ -252,16 +256,16 @@
 		return view;
 	}
 
-	private static Heartbeat heartbeat(int vm, int warmUps) {
-		Map<String, Long> starts = new HashMap<>();
-		for (int i = 0; i < warmUps; i++) {
-			starts.put("endpoint-" + i, NOW_MS);
+	private static Heartbeat heartbeat(int vm, int warmUpCount) {
+		Map<String, Long> warmUpStarts = new HashMap<>();
+		for (int i = 0; i < warmUpCount; i++) {
+			warmUpStarts.put("endpoint-" + i, NOW_MS);
 		}
-		return new Heartbeat(hello(vm).incarnation(), false, 1_234, 27, starts, Map.of(), 0x1234567890abcdefL,
+		return new Heartbeat(hello(vm).incarnation(), false, 1_234, 27, warmUpStarts, Map.of(), 0x1234567890abcdefL,
 				List.of(), List.of());
 	}
 
-	private static Configuration endpoints(int size) {
+	private static Configuration configurationWithEndpoints(int size) {
 		Map<String, EndpointSpec> endpoints = new TreeMap<>();
 		for (int i = 0; i < size; i++) {
 			endpoints.put("endpoint-" + i, new EndpointSpec("generator", "domain-" + i % 5,
@@ -270,13 +274,13 @@
 		return new Configuration(Map.of(), Map.of(), endpoints);
 	}
 
-	private static AdaptiveRouter router(Configuration configuration) {
+	private static AdaptiveRouter createRouter(Configuration configuration) {
 		AdaptiveRouter router = new AdaptiveRouter(new RouterSettings("vm-0", "domain-0", 1, 2_000, 7));
 		router.update(configuration, Set.of(), List.of("vm-0"), NOW_MS);
 		return router;
 	}
 
-	private static ClaimLedger claims(int size) {
+	private static ClaimLedger claimLedger(int size) {
 		ClaimLedger ledger = new ClaimLedger(3_600_000);
 		ledger.observeBounds(0, 0, NOW_MS);
 		for (int i = 0; i < size; i++) {
@@ -298,7 +302,7 @@
 		return new AdmissionRequest("account-" + i, 1, Priority.NORMAL, new Deadline(NOW_MS + 100_000_000), 10);
 	}
 
-	private static byte[] msgpack(Heartbeat heartbeat) {
+	private static byte[] encodeHeartbeat(Heartbeat heartbeat) {
 		try {
 			return MSGPACK.writeValueAsBytes(heartbeat);
 		}
@@ -307,7 +311,7 @@
 		}
 	}
 
-	private static Heartbeat read(byte[] frame) {
+	private static Heartbeat decodeHeartbeat(byte[] frame) {
 		try {
 			return MSGPACK.readValue(frame, Heartbeat.class);
 		}
@@ -316,7 +320,7 @@
 		}
 	}
 
-	private static byte[] json(Object value) {
+	private static byte[] encodeJson(Object value) {
 		try {
 			return Json.mapper().writeValueAsBytes(value);
 		}
@@ -325,7 +329,7 @@
 		}
 	}
 
-	private static LoadReport readReport(byte[] report) {
+	private static LoadReport decodeReport(byte[] report) {
 		try {
 			return Json.mapper().readValue(report, LoadReport.class);
 		}
@@ -335,13 +339,13 @@
 	}
 
 	private static int jsonBytes(JsonNode value) {
-		return json(value).length;
+		return encodeJson(value).length;
 	}
 
 	/**
-	 * Keeps the slot, so that later requests wait.
+	 * Never releases the slot, so that later requests wait.
 	 */
-	private static final class Releasing implements AdmissionListener {
+	private static final class SlotHolder implements AdmissionListener {
 
 		@Override
 		public void admitted(Permit permit) {
--- a/bench/src/main/java/org/fulmargap/bench/package-info.java
+++ b/bench/src/main/java/org/fulmargap/bench/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Measurements of policies and of the cost of control state.
+ * Simulation of routing and admission policies in virtual time.
  */
 package org.fulmargap.bench;
--- a/bench/src/test/java/org/fulmargap/bench/MeasureTests.java
+++ b/bench/src/test/java/org/fulmargap/bench/MeasureTests.java
@@ -10,8 +10,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against measurements that cannot be repeated, and against a policy that loses or
- * doubles requests or lets one request crash more endpoints than two.
+ * Guards against results that are not reproducible with the same seed, and against a
+ * policy that loses requests, runs an action twice, or lets one request crash more than
+ * two endpoints.
  */
 class MeasureTests {
 
@@ -31,7 +32,7 @@
 		}
 
 		@Test
-		void thePolicyLetsACrashingRequestReachTwoEndpoints() {
+		void thePolicyLetsACrashingRequestCrashTwoEndpoints() {
 			assertThat(run("crashing_request").lines()
 				.filter((line) -> line.startsWith("scenario=") && line.contains("policy=fulmargap"))).hasSize(3)
 				.allSatisfy((line) -> assertThat(line).contains(" lost=0 doubled=0 ", " crashes=2 "));
