--- a/entry/src/main/java/org/fulmargap/entry/EntryMain.java
+++ b/entry/src/main/java/org/fulmargap/entry/EntryMain.java
@@ -46,8 +46,7 @@
 	}
 
 	// Settings stay in force for the life of a process. A changed file is only checked
-	// and
-	// logged; it takes effect at the next start.
+	// and logged; it takes effect at the next start.
 	private static void reload(Path file, NodeSettings inForce) {
 		try {
 			boolean changed = !NodeSettingsFile.read(file).equals(inForce);
--- a/entry/src/main/java/org/fulmargap/entry/EntryMetrics.java
+++ b/entry/src/main/java/org/fulmargap/entry/EntryMetrics.java
@@ -44,7 +44,7 @@
 
 	/**
 	 * Returns all counters and timers in the text format of Prometheus.
-	 * @return one appendLine of name and value for each
+	 * @return one line with the name and the value of each
 	 */
 	public String text() {
 		StringBuilder text = new StringBuilder();
--- a/entry/src/main/java/org/fulmargap/entry/StoreTail.java
+++ b/entry/src/main/java/org/fulmargap/entry/StoreTail.java
@@ -47,7 +47,7 @@
 	 * @param topic the topic
 	 * @param minIntervalMs the shortest time between the starts of two reads, in
 	 * milliseconds; one read then returns several changes, because each call is charged
-	 * @param clockMs the present time in milliseconds
+	 * @param clockMs the current time in milliseconds
 	 * @param pages receives the pages, on the tail's thread
 	 * @param outageListener called on the tail's thread when an outage of the store
 	 * begins and when it ends
--- a/entry/src/main/java/org/fulmargap/entry/StoreView.java
+++ b/entry/src/main/java/org/fulmargap/entry/StoreView.java
@@ -54,7 +54,7 @@
 	/**
 	 * Adds or updates an endpoint.
 	 * @param record the record
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return what changed
 	 */
 	public EndpointDirectory.Change put(EndpointRecord record, long nowMs) {
--- a/entry/src/main/java/org/fulmargap/entry/StoreWatch.java
+++ b/entry/src/main/java/org/fulmargap/entry/StoreWatch.java
@@ -152,7 +152,7 @@
 	 * connection to the store may have stopped delivering.
 	 * @param peer the name of the peer
 	 * @param offsets the peer's next offset of each topic, in the order of the topics
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 */
 	void compareOffsets(String peer, List<Long> offsets, long nowMs) {
 		for (StoreTopic topic : StoreTopic.values()) {
--- a/entry/src/main/java/org/fulmargap/entry/caller/CallerConnection.java
+++ b/entry/src/main/java/org/fulmargap/entry/caller/CallerConnection.java
@@ -61,8 +61,7 @@
 	public void channelRead(ChannelHandlerContext context, Object message) {
 		FullHttpRequest request = (FullHttpRequest) message;
 		if (this.closing) {
-			// The last answer on this connection is being written; later requests are
-			// dropped.
+			// The last answer is being written; later requests are dropped.
 			request.release();
 			return;
 		}
@@ -92,8 +91,7 @@
 	}
 
 	// Two Content-Length headers allow request smuggling: two parsers may disagree on
-	// where
-	// the request ends. Not exactly one Host header leaves the route ambiguous.
+	// where the request ends. With no Host header or several, the route is ambiguous.
 	private static boolean isAmbiguous(FullHttpRequest request) {
 		HttpHeaders headers = request.headers();
 		return headers.getAll(HttpHeaderNames.CONTENT_LENGTH).size() > 1
--- a/entry/src/main/java/org/fulmargap/entry/caller/CallerServer.java
+++ b/entry/src/main/java/org/fulmargap/entry/caller/CallerServer.java
@@ -45,7 +45,7 @@
 	/**
 	 * Creates a server that does not listen yet.
 	 * @param loop the event loop of all connections
-	 * @param clockMs the present time in milliseconds
+	 * @param clockMs the current time in milliseconds
 	 * @param limits supplies the limits of requests; new connections use the current ones
 	 * @param handler handles the requests
 	 */
--- a/entry/src/main/java/org/fulmargap/entry/endpoint/EndpointPool.java
+++ b/entry/src/main/java/org/fulmargap/entry/endpoint/EndpointPool.java
@@ -54,7 +54,7 @@
 	/**
 	 * Creates a pool.
 	 * @param loop the event loop of all connections
-	 * @param clockMs the present time in milliseconds
+	 * @param clockMs the current time in milliseconds
 	 */
 	public EndpointPool(EventLoop loop, LongSupplier clockMs) {
 		this.loop = loop;
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerCodec.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerCodec.java
@@ -19,7 +19,7 @@
 
 /**
  * Encodes messages between entry VMs in MessagePack: the number of the type, then the
- * fields in order. Times of work items are sent relative to the present, because the
+ * fields in order. Times of work items are sent relative to the current time, because the
  * clocks of the VMs are not synchronized.
  */
 final class PeerCodec {
@@ -211,7 +211,7 @@
 	/**
 	 * Decodes a message.
 	 * @param bytes the frame
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return the message
 	 * @throws IOException if the type is unknown or the frame is malformed
 	 */
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerMessage.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerMessage.java
@@ -110,7 +110,7 @@
 	 * Releases results that are no longer needed.
 	 *
 	 * @param service the name of the service that made them
-	 * @param handles the names of the results
+	 * @param handles the handles of the results
 	 * @param evictable whether they are kept until their space is needed, instead of
 	 * being freed at once
 	 */
--- a/entry/src/main/java/org/fulmargap/entry/peer/PeerNetwork.java
+++ b/entry/src/main/java/org/fulmargap/entry/peer/PeerNetwork.java
@@ -77,7 +77,7 @@
 	 * @param ownName the name of this VM
 	 * @param startedAtMs when this process started, in milliseconds since the epoch
 	 * @param loop the event loop
-	 * @param clockMs the present time in milliseconds
+	 * @param clockMs the current time in milliseconds
 	 */
 	public PeerNetwork(String ownName, long startedAtMs, EventLoop loop, LongSupplier clockMs) {
 		this.ownName = ownName;
@@ -235,15 +235,13 @@
 		long nowMs = this.clockMs.getAsLong();
 		boolean paused = nowMs - this.lastTickAtMs > LOST_AFTER_MS;
 		this.lastTickAtMs = nowMs;
-		// With many peers, encoding is most of the cost of a heartbeat, so it is done
-		// once.
+		// With many peers, encoding is most of a heartbeat's cost, so it is done once.
 		HeartbeatContent content = HeartbeatContent.of(this.listener);
 		byte[] toAlive = encode(content.heartbeat(this.draining, true));
 		byte[] toLost = encode(content.heartbeat(this.draining, false));
 		for (Peer peer : List.copyOf(this.peers.values())) {
 			peer.send((peer.alive) ? toAlive : toLost);
-			// After a pause of this process, messages that arrived meanwhile are read
-			// first.
+			// After a pause of this process, messages that have arrived are read first.
 			if (!paused && peer.alive && nowMs - peer.lastContactAtMs > LOST_AFTER_MS) {
 				peer.markLost("silent");
 				peer.disconnect();
--- a/entry/src/main/java/org/fulmargap/entry/request/RequestFlow.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/RequestFlow.java
@@ -63,7 +63,7 @@
 
 	/**
 	 * How long a request waits before it is dispatched again when no endpoint could be
-	 * chosen, and how long an endpoint that refused a call gets no other one, in
+	 * chosen, and how long an endpoint that refused a call gets no further calls, in
 	 * milliseconds.
 	 */
 	private static final long NO_ENDPOINT_PAUSE_MS = 40;
--- a/entry/src/main/java/org/fulmargap/entry/request/RequestServices.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/RequestServices.java
@@ -21,7 +21,7 @@
  * The objects that all requests of this VM share.
  *
  * @param loop the event loop to which these objects are confined
- * @param clockMs the present time in milliseconds
+ * @param clockMs the current time in milliseconds
  * @param view this VM's view of the platform's store
  * @param placement chooses endpoints
  * @param retryBudget this VM's share of the retry budget
@@ -59,7 +59,7 @@
 	 * Records that an endpoint crashed, because it accepts no connections, and sends the
 	 * peers a crash report for each request whose connection to it broke shortly before.
 	 * @param endpoint the name of the endpoint
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 */
 	public void confirmCrash(String endpoint, long nowMs) {
 		this.quarantine.confirmCrash(endpoint, nowMs).forEach((fingerprint, endpoints) -> {
--- a/entry/src/main/java/org/fulmargap/entry/request/StageProgress.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/StageProgress.java
@@ -78,7 +78,7 @@
 	}
 
 	/**
-	 * Tells whether all work items have read their inputs.
+	 * Returns whether all work items have read their inputs.
 	 * @return {@code true} if they have, so that the inputs are needed again only if a
 	 * call fails
 	 */
@@ -188,8 +188,8 @@
 	}
 
 	/**
-	 * Returns the names of the results.
-	 * @return the names
+	 * Returns the handles of the results.
+	 * @return the handles
 	 */
 	List<String> handles() {
 		return results().stream().map(WorkItemOutcome::handle).toList();
--- a/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
@@ -75,7 +75,7 @@
 
 	/**
 	 * Creates a run.
-	 * @param clockMs the present time in milliseconds
+	 * @param clockMs the current time in milliseconds
 	 * @param client submits work items
 	 * @param admittedWork the work items that admitted requests still need
 	 * @param route the route
@@ -84,7 +84,7 @@
 	 * request, or an empty text
 	 * @param promptMs the time that an engine is expected to need to read the prompt, in
 	 * milliseconds
-	 * @param priority the rank of the request; 0 is the most urgent
+	 * @param priority the priority of the request; 0 is the most urgent
 	 * @param dueAtMs when the first event is due, in milliseconds
 	 * @param expiresAtMs when the caller stops waiting for the first event, in
 	 * milliseconds
@@ -114,7 +114,7 @@
 	 * @param endpoints returns the available endpoints of a service, as the equivalent
 	 * number of endpoints of usual speed
 	 * @param catalog the configuration
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return the expected times
 	 */
 	PipelineAdmission.ExpectedTimes estimate(ToDoubleFunction<String> endpoints, Catalog catalog, long nowMs) {
@@ -336,7 +336,7 @@
 
 	/**
 	 * Returns the results that the request itself needs.
-	 * @return the names of the results, or {@code null} if the route has no stages
+	 * @return the handles of the results, or {@code null} if the route has no stages
 	 */
 	List<String> finalHandles() {
 		if (this.stages.isEmpty()) {
--- a/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
@@ -48,7 +48,7 @@
 	/** The shortest timeout of a call, in milliseconds. */
 	private static final double MIN_CALL_TIMEOUT_MS = 500;
 
-	/** How long an endpoint that refused a call gets no other one, in milliseconds. */
+	/** How long an endpoint that refused a call gets no further calls, in ms. */
 	private static final long REFUSED_PAUSE_MS = 60;
 
 	/** A work item that was in this many calls is not retried when it fails. */
@@ -101,7 +101,7 @@
 	/**
 	 * Creates a dispatcher.
 	 * @param loop the event loop
-	 * @param clockMs the present time in milliseconds
+	 * @param clockMs the current time in milliseconds
 	 * @param view this VM's view of the platform's store
 	 * @param pool connections to endpoints
 	 * @param retryBudget this VM's share of the retry budget
@@ -149,7 +149,7 @@
 	/**
 	 * Releases results at the endpoints that keep them, after a short delay so that one
 	 * call covers several results.
-	 * @param handles the names of the results
+	 * @param handles the handles of the results
 	 */
 	public void release(List<String> handles) {
 		for (String handle : handles) {
@@ -164,7 +164,7 @@
 	/**
 	 * Marks results as evictable: they are released when other results need their space.
 	 * @param service the service that produced them
-	 * @param handles the names of the results
+	 * @param handles the handles of the results
 	 */
 	public void markEvictable(String service, List<String> handles) {
 		ServiceQueue queue = this.queues.get(service);
@@ -322,8 +322,7 @@
 				pending.outcome.accept(outcome);
 			}
 			else if (outcome.isDone()) {
-				// The work item was cancelled during the call, so its result is not
-				// needed.
+				// The work item was cancelled during the call: nobody needs its result.
 				release(List.of(outcome.handle()));
 			}
 		}
--- a/entry/src/main/java/org/fulmargap/entry/stage/StageClient.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageClient.java
@@ -132,7 +132,7 @@
 	/**
 	 * Releases results that are no longer needed.
 	 * @param service the service of their stage
-	 * @param handles the names of the results
+	 * @param handles the handles of the results
 	 */
 	public void release(String service, List<String> handles) {
 		release(new PeerMessage.Release(service, List.copyOf(handles), false));
@@ -142,7 +142,7 @@
 	 * Marks results as evictable, because they are needed again only if a call fails:
 	 * they are kept as long as there is space for them.
 	 * @param service the service of their stage
-	 * @param handles the names of the results
+	 * @param handles the handles of the results
 	 */
 	public void markEvictable(String service, List<String> handles) {
 		release(new PeerMessage.Release(service, List.copyOf(handles), true));
@@ -212,7 +212,7 @@
 	}
 
 	/**
-	 * Submits the work items that a lost peer coordinated to the present coordinators,
+	 * Submits the work items that a lost peer coordinated to the current coordinators,
 	 * and cancels the work items that came from it.
 	 * @param peer the name of the peer
 	 */
--- a/entry/src/main/java/org/fulmargap/entry/stage/WorkItemOutcome.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/WorkItemOutcome.java
@@ -5,7 +5,7 @@
  *
  * @param itemId the submitter's id of the work item
  * @param status the status of the work item
- * @param handle the name of the result; empty if there is none
+ * @param handle the handle of the result; empty if there is none
  * @param failureDomain the failure domain that keeps the result; empty if there is none
  */
 public record WorkItemOutcome(long itemId, Status status, String handle, String failureDomain) {
@@ -22,7 +22,7 @@
 	/**
 	 * Creates the outcome of a work item that has a result.
 	 * @param itemId the id of the work item
-	 * @param handle the name of the result
+	 * @param handle the handle of the result
 	 * @param failureDomain the failure domain that keeps the result
 	 * @return the outcome
 	 */
@@ -49,7 +49,7 @@
 	}
 
 	/**
-	 * Tells whether the work item has a result.
+	 * Returns whether the work item has a result.
 	 * @return {@code true} if it has
 	 */
 	public boolean isDone() {
@@ -84,7 +84,7 @@
 		}
 
 		/**
-		 * Tells whether this is the last status of a work item.
+		 * Returns whether this is the last status of a work item.
 		 * @return {@code true} if no other status follows
 		 */
 		public boolean isLast() {
