--- a/core/src/main/java/org/fulmargap/batch/AdmittedWork.java
+++ b/core/src/main/java/org/fulmargap/batch/AdmittedWork.java
@@ -58,7 +58,7 @@
 	 * Replaces the counts of a peer by those of its newest report.
 	 * @param peer the name of the peer
 	 * @param items its number of work items by rank, by service
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 */
 	public void recordReport(String peer, Map<String, int[]> items, long nowMs) {
 		this.reports.put(peer, new Report(Map.copyOf(items), nowMs));
@@ -68,7 +68,7 @@
 	 * Returns how many work items are ahead of those of a new request.
 	 * @param service the name of the service
 	 * @param rank the priority rank of the new request; 0 is the most urgent
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return the number of work items of all VMs with the same or a more urgent rank
 	 */
 	public int itemsAhead(String service, int rank, long nowMs) {
--- a/core/src/main/java/org/fulmargap/batch/AvailableEndpoints.java
+++ b/core/src/main/java/org/fulmargap/batch/AvailableEndpoints.java
@@ -20,7 +20,7 @@
 	 * Replaces the report of a VM about the services that it coordinates.
 	 * @param vm the name of the VM
 	 * @param endpoints the number of available endpoints of usual speed, by service
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 */
 	public void recordReport(String vm, Map<String, Double> endpoints, long nowMs) {
 		this.reports.put(vm, new Report(Map.copyOf(endpoints), nowMs));
@@ -32,7 +32,7 @@
 	 * @param coordinator the name of the VM that makes the calls of the service
 	 * @param listed the number of endpoints that the platform lists; it is an upper limit
 	 * and the result if there is no valid report
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return the number of available endpoints, in units of endpoints of usual speed
 	 */
 	public double count(String service, String coordinator, int listed, long nowMs) {
--- a/core/src/main/java/org/fulmargap/batch/BatchScheduler.java
+++ b/core/src/main/java/org/fulmargap/batch/BatchScheduler.java
@@ -135,7 +135,7 @@
 	/**
 	 * Returns the space for further results at an endpoint.
 	 * @param endpoint the endpoint
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return the free space in bytes; negative if more is used than the capacity allows
 	 */
 	public long freeBytes(Endpoint endpoint, long nowMs) {
@@ -146,7 +146,7 @@
 	 * Removes the work items that can't be done before they expire, given the work items
 	 * ahead of them. Moves those that will miss their deadline behind the others.
 	 * @param endpoints the number of available endpoints
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return the removed work items
 	 */
 	public List<WorkItem> expire(int endpoints, long nowMs) {
@@ -184,7 +184,7 @@
 	/**
 	 * Forms the next call and removes its work items from the waiting ones.
 	 * @param endpoints the available endpoints
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return the call, or empty if no work item waits, if no endpoint has a free slot
 	 * and enough result space, or if the work items wait for a local endpoint
 	 */
@@ -227,9 +227,8 @@
 		return byDomain > 0 || (byDomain == 0 && freeBytes(endpoint, nowMs) > freeBytes(best, nowMs));
 	}
 
-	// Avoids reading large inputs from another failure domain if a local endpoint
-	// ends its call early enough. With many work items waiting, no endpoint is left
-	// idle.
+	// Avoids reading large inputs from another failure domain if a local endpoint ends
+	// its call early enough. With many work items waiting, no endpoint is left idle.
 	private boolean waitsForLocal(WorkItemGroup group, Endpoint endpoint, List<Endpoint> endpoints, long nowMs) {
 		if (group.isLocal(endpoint) || waitingCount() > this.capacity.batch() * MAX_BATCHES_FOR_LOCALITY) {
 			return false;
@@ -322,7 +321,7 @@
 	 * @param endpoint the endpoint that keeps the result
 	 * @param handle the handle of the result
 	 * @param resultBytes its size in bytes
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 */
 	public void recordResult(Endpoint endpoint, String handle, long resultBytes, long nowMs) {
 		this.newestResultBytes = resultBytes;
@@ -335,7 +334,7 @@
 	 * coordinator. It counts as used and becomes free evenly over the lifetime of a
 	 * result.
 	 * @param endpoint the endpoint
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 */
 	public void recordOutOfSpace(Endpoint endpoint, long nowMs) {
 		resultSpace(endpoint).recordOutOfSpace(freeBytes(endpoint, nowMs), this.capacity.resultLifetimeMs(), nowMs);
@@ -366,7 +365,7 @@
 	 * Chooses evictable results that must be released so that each endpoint has space for
 	 * the results of a full batch. Chooses none while no work items wait. The caller
 	 * releases the results at the endpoints and then calls {@link #release}.
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return the handles of the results
 	 */
 	public List<String> evict(long nowMs) {
--- a/core/src/main/java/org/fulmargap/batch/ResultSpace.java
+++ b/core/src/main/java/org/fulmargap/batch/ResultSpace.java
@@ -93,7 +93,7 @@
 	 * Records that the endpoint ran out of space for a result.
 	 * @param bytes the space that was counted as free although it isn't, in bytes
 	 * @param lifetimeMs how long results are kept, in milliseconds
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 */
 	void recordOutOfSpace(long bytes, long lifetimeMs, long nowMs) {
 		this.untrackedBytes = untrackedBytes(nowMs) + Math.max(0, bytes);
--- a/core/src/main/java/org/fulmargap/batch/WorkItem.java
+++ b/core/src/main/java/org/fulmargap/batch/WorkItem.java
@@ -6,7 +6,7 @@
  * One unit of the work of a stage for one request.
  *
  * @param itemId the number that identifies the work item at the VM that submitted it
- * @param attemptId the identity of the request
+ * @param attemptId the attempt id of the request
  * @param stage the index of the stage in the route
  * @param index the index of the work item in the stage
  * @param inputKey the key of the request's input for a stage without dependencies, else
--- a/core/src/main/java/org/fulmargap/claim/ClaimEvent.java
+++ b/core/src/main/java/org/fulmargap/claim/ClaimEvent.java
@@ -57,7 +57,7 @@
 		}
 
 		/**
-		 * Tells whether the event violates an invariant.
+		 * Returns whether the event violates an invariant.
 		 * @return {@code true} if the event must never happen
 		 */
 		public boolean isViolation() {
@@ -65,7 +65,7 @@
 		}
 
 		/**
-		 * Tells whether the event is frequent in normal operation.
+		 * Returns whether the event is frequent in normal operation.
 		 * @return {@code true} if the event is counted but not logged
 		 */
 		public boolean isRoutine() {
--- a/core/src/main/java/org/fulmargap/claim/ClaimKey.java
+++ b/core/src/main/java/org/fulmargap/claim/ClaimKey.java
@@ -25,7 +25,7 @@
 	}
 
 	/**
-	 * Tells whether a string is a valid idempotency key.
+	 * Returns whether a string is a valid idempotency key.
 	 * @param key the string
 	 * @return {@code true} if the string has 1 to 128 visible ASCII characters
 	 */
--- a/core/src/main/java/org/fulmargap/claim/ClaimLedger.java
+++ b/core/src/main/java/org/fulmargap/claim/ClaimLedger.java
@@ -70,7 +70,7 @@
 	 * applied.
 	 * @param firstOffset the first offset that is retained
 	 * @param endOffset the offset that the next append gets
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return a gap event if records are missing, otherwise empty
 	 */
 	public List<ClaimEvent> observeBounds(long firstOffset, long endOffset, long nowMs) {
@@ -98,7 +98,7 @@
 	 * @param offset the offset of the record
 	 * @param appendedAtMs when the log stored the record, milliseconds since the epoch
 	 * @param value the record, which contains a batch
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return the keys whose claims may have changed, and the events
 	 */
 	public ApplyResult apply(long offset, long appendedAtMs, JsonNode value, long nowMs) {
@@ -135,7 +135,7 @@
 	 * claim can be missing. That is so if the stream was read from its first record
 	 * without a gap, if reading started at or below a coverage offset, or if all earlier
 	 * claims have expired.
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return {@code true} if this call made the ledger complete
 	 */
 	public boolean tryComplete(long nowMs) {
@@ -179,9 +179,9 @@
 	}
 
 	/**
-	 * Tells whether the claim of an attempt, or its release, has been applied.
+	 * Returns whether the claim of an attempt, or its release, has been applied.
 	 * @param key the key
-	 * @param attemptId the identity of the attempt
+	 * @param attemptId the id of the attempt
 	 * @return {@code true} if the ledger holds the claim or the release
 	 */
 	public boolean hasSeen(ClaimKey key, String attemptId) {
@@ -190,9 +190,9 @@
 	}
 
 	/**
-	 * Tells whether an attempt was released.
+	 * Returns whether an attempt was released.
 	 * @param key the key
-	 * @param attemptId the identity of the attempt
+	 * @param attemptId the id of the attempt
 	 * @return {@code true} if the ledger holds its release
 	 */
 	public boolean isReleased(ClaimKey key, String attemptId) {
@@ -201,7 +201,7 @@
 	}
 
 	/**
-	 * Tells whether the ledger holds every live claim of the part of the stream that it
+	 * Returns whether the ledger holds every live claim of the part of the stream that it
 	 * has applied.
 	 * @return {@code true} if the ledger may be used to decide who owns a key
 	 */
@@ -252,7 +252,7 @@
 
 	/**
 	 * Removes claims that are older than the key lifetime.
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
 	public void expire(long nowMs) {
 		this.entries.values().removeIf((entry) -> entry.expire(nowMs - this.keyLifetimeMs));
@@ -304,8 +304,8 @@
 				existing.claimedAtMs = claimedAtMs;
 				entry.sort();
 			}
-			// A repeated append carries neither the original rank nor the outcome.
-			// It therefore cannot replace the first record.
+			// A repeated append carries neither the original rank nor the outcome. It
+			// therefore cannot replace the first record.
 			if (rank != position.rank() && (existing.outcome == null || outcome != null)) {
 				existing.lastOffset = position.offset();
 			}
--- a/core/src/main/java/org/fulmargap/claim/ClaimRecord.java
+++ b/core/src/main/java/org/fulmargap/claim/ClaimRecord.java
@@ -33,7 +33,7 @@
 	 *
 	 * @param key the key
 	 * @param digest the digest of pipeline and body
-	 * @param attemptId the identity of the attempt, globally unique and never reused
+	 * @param attemptId the id of the attempt, globally unique and never reused
 	 * @param incarnation the incarnation that makes the claim
 	 * @param claimedAtMs when the attempt began, milliseconds since the epoch
 	 */
@@ -59,7 +59,7 @@
 	 * Records the end of an attempt that was dispatched.
 	 *
 	 * @param key the key
-	 * @param attemptId the identity of the attempt
+	 * @param attemptId the id of the attempt
 	 * @param outcome the answer
 	 */
 	record Outcome(@JsonProperty(value = "key", required = true) ClaimKey key,
@@ -81,7 +81,7 @@
 	 * Withdraws the claim of an attempt that has not been and will not be dispatched.
 	 *
 	 * @param key the key
-	 * @param attemptId the identity of the attempt
+	 * @param attemptId the id of the attempt
 	 */
 	record Release(@JsonProperty(value = "key", required = true) ClaimKey key,
 			@JsonProperty(value = "attempt_id", required = true) String attemptId) implements ClaimRecord {
--- a/core/src/main/java/org/fulmargap/claim/ClaimView.java
+++ b/core/src/main/java/org/fulmargap/claim/ClaimView.java
@@ -6,7 +6,7 @@
 /**
  * Immutable view of a claim that the ledger holds.
  *
- * @param attemptId the identity of the attempt that made the claim
+ * @param attemptId the id of the attempt that made the claim
  * @param incarnation the incarnation that made the claim
  * @param digest the digest of pipeline and body
  * @param claimedAtMs when the claim was made, milliseconds since the epoch
--- a/core/src/main/java/org/fulmargap/config/ConfigLedger.java
+++ b/core/src/main/java/org/fulmargap/config/ConfigLedger.java
@@ -183,7 +183,7 @@
 	}
 
 	/**
-	 * Tells whether the ledger has a state from the stream or a peer.
+	 * Returns whether the ledger has a state from the stream or a peer.
 	 * @return {@code true} if {@link #state()} is the state at some offset
 	 */
 	public boolean hasState() {
@@ -191,7 +191,7 @@
 	}
 
 	/**
-	 * Tells whether the ledger follows the stream record by record.
+	 * Returns whether the ledger follows the stream record by record.
 	 * @return {@code false} at the start and while the ledger searches for a snapshot
 	 */
 	public boolean isFollowing() {
@@ -207,8 +207,8 @@
 	}
 
 	/**
-	 * Tells whether a new snapshot should be appended.
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * Returns whether a new snapshot should be appended.
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @param everyMs the age in milliseconds above which a snapshot is replaced if
 	 * records follow it
 	 * @param maxRecords the number of following records above which it is replaced
--- a/core/src/main/java/org/fulmargap/config/ConfigRecord.java
+++ b/core/src/main/java/org/fulmargap/config/ConfigRecord.java
@@ -48,7 +48,7 @@
 	/**
 	 * Proposes a patch.
 	 *
-	 * @param patchId the identity of the patch, globally unique and never reused
+	 * @param patchId the id of the patch, globally unique and never reused
 	 * @param expectedVersion the version that the patch applies to
 	 * @param mergePatch a JSON Merge Patch (RFC 7396)
 	 * @param proposedAtMs when the proposal was created, milliseconds since the epoch
@@ -71,7 +71,7 @@
 	/**
 	 * Acknowledges a proposal.
 	 *
-	 * @param patchId the identity of the patch
+	 * @param patchId the id of the patch
 	 * @param vm the name of the entry VM that acknowledges
 	 * @param incarnation the incarnation that acknowledges
 	 */
@@ -93,7 +93,7 @@
 	/**
 	 * Puts a proposal in force if every required acknowledgement precedes this record.
 	 *
-	 * @param patchId the identity of the patch
+	 * @param patchId the id of the patch
 	 */
 	record Commit(@JsonProperty(value = "patch_id", required = true) String patchId) implements ConfigRecord {
 
@@ -109,7 +109,7 @@
 	/**
 	 * Aborts a proposal.
 	 *
-	 * @param patchId the identity of the patch
+	 * @param patchId the id of the patch
 	 * @param reason a human-readable reason
 	 */
 	record Abort(@JsonProperty(value = "patch_id", required = true) String patchId,
--- a/core/src/main/java/org/fulmargap/config/ConfigState.java
+++ b/core/src/main/java/org/fulmargap/config/ConfigState.java
@@ -60,7 +60,7 @@
 
 	/**
 	 * Finds the decision about a patch.
-	 * @param patchId the identity of the patch
+	 * @param patchId the id of the patch
 	 * @return the decision, or empty if there is none or it is no longer kept
 	 */
 	public Optional<PatchDecision> decision(String patchId) {
@@ -68,7 +68,7 @@
 	}
 
 	/**
-	 * Tells whether this incarnation is a member.
+	 * Returns whether this incarnation is a member.
 	 * @param vm the name of the entry VM
 	 * @param incarnation the incarnation
 	 * @return {@code true} if this incarnation of the VM is a member
--- a/core/src/main/java/org/fulmargap/config/EndpointSpec.java
+++ b/core/src/main/java/org/fulmargap/config/EndpointSpec.java
@@ -49,7 +49,7 @@
 		IGNORED;
 
 		/**
-		 * Tells whether the endpoint rejects orders of a former lease holder.
+		 * Returns whether the endpoint rejects orders of a former lease holder.
 		 * @return {@code true} if stale fencing tokens are rejected
 		 */
 		public boolean rejectsStaleTokens() {
--- a/core/src/main/java/org/fulmargap/config/PatchDecision.java
+++ b/core/src/main/java/org/fulmargap/config/PatchDecision.java
@@ -8,7 +8,7 @@
 /**
  * Decision about a patch that follows from the configuration stream.
  *
- * @param patchId the identity of the patch
+ * @param patchId the id of the patch
  * @param version the version in force after the decision
  * @param rejection why the patch was rejected, or {@code null} if it was accepted
  * @param message a human-readable explanation
@@ -27,7 +27,7 @@
 	}
 
 	/**
-	 * Tells whether the patch was accepted.
+	 * Returns whether the patch was accepted.
 	 * @return {@code true} if the patch was committed
 	 */
 	public boolean accepted() {
--- a/core/src/main/java/org/fulmargap/config/PatchRejection.java
+++ b/core/src/main/java/org/fulmargap/config/PatchRejection.java
@@ -18,7 +18,7 @@
 	NOT_ACKNOWLEDGED;
 
 	/**
-	 * Tells whether the same patch may succeed if it is proposed again.
+	 * Returns whether the same patch may succeed if it is proposed again.
 	 * @return {@code false} for an invalid patch
 	 */
 	public boolean isTransient() {
--- a/core/src/main/java/org/fulmargap/config/PendingPatch.java
+++ b/core/src/main/java/org/fulmargap/config/PendingPatch.java
@@ -13,7 +13,7 @@
 /**
  * Patch that has been proposed and is not yet decided.
  *
- * @param patchId the identity of the patch
+ * @param patchId the id of the patch
  * @param proposedAtMs when the proposer created the proposal, milliseconds since the
  * epoch
  * @param result the document that results from the patch; it has been validated
@@ -47,7 +47,7 @@
 	}
 
 	/**
-	 * Tells whether an acknowledgement by this incarnation is still needed.
+	 * Returns whether an acknowledgement by this incarnation is still needed.
 	 * @param vm the name of the entry VM
 	 * @param incarnation the incarnation
 	 * @return {@code true} if the acknowledgement is required and missing
--- a/core/src/main/java/org/fulmargap/config/StageKind.java
+++ b/core/src/main/java/org/fulmargap/config/StageKind.java
@@ -36,7 +36,7 @@
 	}
 
 	/**
-	 * Tells whether endpoints stream the result of this kind.
+	 * Returns whether endpoints stream the result of this kind.
 	 * @return {@code true} for generation
 	 */
 	public boolean isStreamed() {
--- a/core/src/main/java/org/fulmargap/membership/AdminOrder.java
+++ b/core/src/main/java/org/fulmargap/membership/AdminOrder.java
@@ -64,7 +64,7 @@
 	}
 
 	/**
-	 * Tells whether this order replaces another one for the same target.
+	 * Returns whether this order replaces another one for the same target.
 	 * @param other the other order
 	 * @return {@code true} if counter and issuer of this order are the higher pair
 	 */
@@ -113,7 +113,7 @@
 		OUT;
 
 		/**
-		 * Tells whether the target may get new requests.
+		 * Returns whether the target may get new requests.
 		 * @return {@code true} for targets in service
 		 */
 		public boolean takesNewWork() {
--- a/core/src/main/java/org/fulmargap/membership/AdminOrders.java
+++ b/core/src/main/java/org/fulmargap/membership/AdminOrders.java
@@ -40,7 +40,7 @@
 	 * @param target the target of the order
 	 * @param state the state to set
 	 * @param issuer the incarnation of this entry VM
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return the order, not yet part of this set
 	 */
 	public AdminOrder next(Target target, State state, String issuer, long nowMs) {
@@ -75,7 +75,7 @@
 	}
 
 	/**
-	 * Tells whether an order was merged or superseded.
+	 * Returns whether an order was merged or superseded.
 	 * @param order the order
 	 * @return {@code true} if the register holds this order or one of higher precedence
 	 */
@@ -109,7 +109,7 @@
 	}
 
 	/**
-	 * Tells whether an order for this target takes it out of service.
+	 * Returns whether an order for this target takes it out of service.
 	 * @param target the target
 	 * @return {@code true} if the state of the order in force is {@code OUT}
 	 */
--- a/core/src/main/java/org/fulmargap/membership/Incarnation.java
+++ b/core/src/main/java/org/fulmargap/membership/Incarnation.java
@@ -57,7 +57,7 @@
 	}
 
 	/**
-	 * Tells whether this incarnation started before another one of the same VM.
+	 * Returns whether this incarnation started before another one of the same VM.
 	 * @param other the other incarnation
 	 * @return {@code true} if the VM is the same and the start time is lower
 	 */
--- a/core/src/main/java/org/fulmargap/membership/MembershipView.java
+++ b/core/src/main/java/org/fulmargap/membership/MembershipView.java
@@ -46,7 +46,7 @@
 	 * Creates a view without any peers.
 	 * @param self the identity of this entry VM
 	 * @param limits the time limits
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
 	public MembershipView(Hello self, MembershipLimits limits, long nowMs) {
 		this.self = Objects.requireNonNull(self, "self");
@@ -68,7 +68,7 @@
 	/**
 	 * Sets the members that the configuration stream lists.
 	 * @param members the incarnation of each member by VM name
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
 	public synchronized void setJoined(Map<String, Incarnation> members, long nowMs) {
 		this.joined = Set.copyOf(members.keySet());
@@ -86,7 +86,7 @@
 	 * Sets the members that the configuration stream lists, with their failure domains.
 	 * Members whose incarnation cannot be parsed are ignored.
 	 * @param members the members
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
 	public synchronized void setJoined(Collection<org.fulmargap.config.Member> members, long nowMs) {
 		Map<String, Incarnation> incarnations = new TreeMap<>();
@@ -107,7 +107,7 @@
 	/**
 	 * Records the first message of a link.
 	 * @param hello the message
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return {@code false} if the sender is an older incarnation than the known one, or
 	 * uses the name of this VM; the message then has no effect
 	 */
@@ -131,7 +131,7 @@
 	/**
 	 * Records a heartbeat.
 	 * @param heartbeat the message
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return {@code false} if the sender is not the known incarnation of its VM; the
 	 * message then has no effect
 	 */
@@ -150,7 +150,7 @@
 
 	/**
 	 * Records a response of the log.
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 */
 	public synchronized void recordLogContact(long nowMs) {
 		this.lastLogContactMs = Math.max(this.lastLogContactMs, nowMs);
@@ -176,9 +176,9 @@
 	}
 
 	/**
-	 * Tells whether a VM is this one or has sent a message recently.
+	 * Returns whether a VM is this one or has sent a message recently.
 	 * @param vm the name of the VM
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return {@code true} if the VM is considered alive
 	 */
 	public synchronized boolean isAlive(String vm, long nowMs) {
@@ -197,9 +197,9 @@
 	}
 
 	/**
-	 * Tells whether this VM is isolated: for the isolation time it has received no
+	 * Returns whether this VM is isolated: for the isolation time it has received no
 	 * message from outside its failure domain and no response from the log.
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return {@code true} if the VM is isolated
 	 */
 	public synchronized boolean isIsolated(long nowMs) {
@@ -209,7 +209,7 @@
 
 	/**
 	 * Returns the highest configuration version that an alive peer reported.
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return the version, zero if no peer is alive
 	 */
 	public synchronized long highestPeerVersion(long nowMs) {
@@ -224,7 +224,7 @@
 	/**
 	 * Returns this VM and all peers that are members or have sent a message in the last
 	 * minute, sorted by name.
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return an immutable list
 	 */
 	public synchronized List<MemberStatus> members(long nowMs) {
@@ -248,7 +248,7 @@
 	 * Returns the members from which this VM has received no message for the eviction
 	 * time. Heartbeats carry their names, so that no VM evicts a member whose messages
 	 * still reach another VM.
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return names of VMs, sorted
 	 */
 	public synchronized List<String> unresponsiveMembers(long nowMs) {
@@ -269,7 +269,7 @@
 	 * considered partitioned rather than failed, so its members are kept.
 	 * @param listedVms the names in the platform's VM list
 	 * @param listReadAtMs when the list was read, milliseconds since the epoch
-	 * @param nowMs the present time in milliseconds since the epoch
+	 * @param nowMs the current time in milliseconds since the epoch
 	 * @return names of VMs, sorted; empty if the list is old or does not contain this VM
 	 */
 	public synchronized List<String> evictableMembers(Collection<String> listedVms, long listReadAtMs, long nowMs) {
--- a/core/src/main/java/org/fulmargap/placement/ColdStartLimiter.java
+++ b/core/src/main/java/org/fulmargap/placement/ColdStartLimiter.java
@@ -20,7 +20,7 @@
 	 * {@link #recordSent}.
 	 * @param perSecond this VM's share of the rate, in requests per second; 0 for no
 	 * limit
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return {@code true} if the request may be sent
 	 */
 	boolean maySend(double perSecond, long nowMs) {
--- a/core/src/main/java/org/fulmargap/placement/Endpoint.java
+++ b/core/src/main/java/org/fulmargap/placement/Endpoint.java
@@ -74,7 +74,7 @@
 
 	/**
 	 * Returns whether new work may be sent to the endpoint.
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return {@code true} if it is neither draining nor removed
 	 */
 	public boolean isAvailable(long nowMs) {
@@ -84,7 +84,7 @@
 	/**
 	 * Records that the endpoint reported itself as cold in an answer.
 	 * @param coldForMs how long it stays cold, in milliseconds
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 */
 	public void markCold(long coldForMs, long nowMs) {
 		this.coldUntilMs = Math.max(this.coldUntilMs, nowMs + coldForMs);
@@ -92,7 +92,7 @@
 
 	/**
 	 * Returns whether the endpoint is cold and can handle only a low rate of requests.
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return {@code true} if it is cold
 	 */
 	public boolean isCold(long nowMs) {
@@ -107,7 +107,7 @@
 	 * Records that this VM sends a request.
 	 * @param prompt the prompt, {@link Prompt#NONE} for plain requests
 	 * @param cacheTokens the memory of the engine in tokens; 0 for other endpoints
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return the number of prompt tokens expected to need prefill
 	 */
 	public int started(Prompt prompt, long cacheTokens, long nowMs) {
@@ -148,7 +148,7 @@
 	 * Records a successful call. Ends a suspension and updates the slowdown factor.
 	 * @param measuredMs how long it took, in milliseconds
 	 * @param expectedMs how long it was expected to take, in milliseconds; 0 if unknown
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 */
 	public void succeeded(double measuredMs, double expectedMs, long nowMs) {
 		this.health.succeeded(nowMs);
@@ -161,7 +161,7 @@
 	/**
 	 * Records a failed call.
 	 * @param suspend whether the endpoint is suspended for some time
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 */
 	public void failed(boolean suspend, long nowMs) {
 		this.health.failed(nowMs, suspend);
@@ -177,7 +177,7 @@
 
 	/**
 	 * Returns whether the endpoint should get no calls at present.
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return {@code true} if it is suspended after failures or refused a call recently
 	 */
 	public boolean isSuspended(long nowMs) {
@@ -186,7 +186,7 @@
 
 	/**
 	 * Returns the share of failures among the recent calls. It decays with time.
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return the share, from 0 to 1
 	 */
 	public double failureShare(long nowMs) {
@@ -220,7 +220,7 @@
 
 	/**
 	 * Returns the number of requests that all entry VMs have in flight at the endpoint.
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return the number of requests
 	 */
 	public int inFlight(long nowMs) {
@@ -233,7 +233,7 @@
 
 	/**
 	 * Returns the number of prompt tokens of all entry VMs that wait for prefill.
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return the number of tokens
 	 */
 	public long prefillTokens(long nowMs) {
--- a/core/src/main/java/org/fulmargap/placement/EndpointDirectory.java
+++ b/core/src/main/java/org/fulmargap/placement/EndpointDirectory.java
@@ -15,8 +15,8 @@
 
 	/**
 	 * How long an endpoint is still used if its record may have expired because of an
-	 * outage of the store, in milliseconds. Must be less than the time within which a
-	 * leaving endpoint must no longer get new work.
+	 * outage of the store, in milliseconds. Must be less than the time after which a
+	 * draining endpoint must get no new work.
 	 */
 	public static final long LAPSE_GRACE_MS = 1_000;
 
@@ -29,7 +29,7 @@
 	/**
 	 * Adds or updates an endpoint.
 	 * @param record the newest record of an endpoint
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return what changed
 	 */
 	public Change put(EndpointRecord record, long nowMs) {
@@ -53,7 +53,7 @@
 	 * Marks an endpoint as removed. It stays known until {@link #purge}.
 	 * @param id the name of the endpoint
 	 * @param graceMs how long it may still be used, in milliseconds
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return whether it was known
 	 */
 	public boolean remove(String id, long graceMs, long nowMs) {
@@ -68,7 +68,7 @@
 	/**
 	 * Deletes the removed endpoints whose grace period has ended and which have no
 	 * requests of this VM in flight. Draining endpoints are kept.
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 */
 	public void purge(long nowMs) {
 		for (Endpoint endpoint : List.copyOf(this.byId.values())) {
@@ -84,7 +84,7 @@
 	 * Removes all endpoints that are missing from a complete listing of the store.
 	 * @param ids the names in the listing
 	 * @param graceMs how long the missing ones may still be used, in milliseconds
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 */
 	public void retain(Set<String> ids, long graceMs, long nowMs) {
 		Set<String> missing = new HashSet<>(this.byId.keySet());
@@ -103,7 +103,7 @@
 	/**
 	 * Returns the endpoints of a service that may get new work.
 	 * @param service the name of the service
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return the endpoints in the order in which they were added to the service
 	 */
 	public List<Endpoint> available(String service, long nowMs) {
@@ -119,7 +119,7 @@
 	/**
 	 * Returns whether an endpoint may get new work.
 	 * @param endpoint the endpoint
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return {@code true} if it is available and its failure domain isn't evacuated
 	 */
 	public boolean mayUse(Endpoint endpoint, long nowMs) {
--- a/core/src/main/java/org/fulmargap/placement/Placement.java
+++ b/core/src/main/java/org/fulmargap/placement/Placement.java
@@ -64,7 +64,7 @@
 	 * @param service the service of the endpoints
 	 * @param demand what the request needs
 	 * @param vmCount the number of entry VMs that share the rate limit of cold endpoints
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return the choice, or empty if all endpoints are excluded or at their cold-start
 	 * limit
 	 */
--- a/core/src/main/java/org/fulmargap/placement/Prompt.java
+++ b/core/src/main/java/org/fulmargap/placement/Prompt.java
@@ -22,10 +22,10 @@
 	}
 
 	/**
-	 * Returns the identity of the last part that other requests may share. This is the
-	 * last but one, because the last part belongs to one request or session. A single
-	 * part counts as shared.
-	 * @return the identity, or an empty string if there are no parts
+	 * Returns the id of the last part that other requests may share. This is the last but
+	 * one, because the last part belongs to one request or session. A single part counts
+	 * as shared.
+	 * @return the id, or an empty string if there are no parts
 	 */
 	public String affinityKey() {
 		if (this.parts.isEmpty()) {
--- a/core/src/main/java/org/fulmargap/placement/PromptPart.java
+++ b/core/src/main/java/org/fulmargap/placement/PromptPart.java
@@ -3,7 +3,7 @@
 /**
  * A part of a prompt.
  *
- * @param id the identity of its text
+ * @param id the id of its text
  * @param tokens its length in tokens
  */
 public record PromptPart(String id, int tokens) {
--- a/core/src/main/java/org/fulmargap/placement/SharedRetryBudget.java
+++ b/core/src/main/java/org/fulmargap/placement/SharedRetryBudget.java
@@ -48,13 +48,13 @@
 	 * Uses one retry of the budget if there is one.
 	 * @param service the name of the service
 	 * @param vmCount the number of entry VMs that share the slack
-	 * @param nowMs the present time in milliseconds
+	 * @param nowMs the current time in milliseconds
 	 * @return {@code true} if the retry may be made
 	 */
 	public boolean tryRetry(String service, int vmCount, long nowMs) {
 		Bucket bucket = this.buckets.computeIfAbsent(service, (name) -> new Bucket());
-		// Half of the share is refilled over the window and at most half is saved up,
-		// so that no window exceeds the share.
+		// Half of the share is refilled over the window and at most half is saved up, so
+		// that no window exceeds the share.
 		double halfShare = this.slack / Math.max(1, vmCount) / 2;
 		if (bucket.refilledAtMs == Long.MIN_VALUE) {
 			bucket.tokens += halfShare;
--- a/core/src/main/java/org/fulmargap/request/AttemptId.java
+++ b/core/src/main/java/org/fulmargap/request/AttemptId.java
@@ -29,7 +29,7 @@
 	/**
 	 * Parses the text form.
 	 * @param text four parts separated by slashes, as {@link #toString()} returns
-	 * @return the identity
+	 * @return the attempt id
 	 * @throws IllegalArgumentException if the text has a different form
 	 */
 	public static AttemptId parse(String text) {
@@ -42,7 +42,7 @@
 	}
 
 	/**
-	 * Returns the identity of the request that this attempt belongs to.
+	 * Returns the id of the request that this attempt belongs to.
 	 * @return the incarnation and the request number, separated by a slash
 	 */
 	public String requestId() {
