--- a/core/src/main/java/org/fulmargap/admission/FairAdmission.java
+++ b/core/src/main/java/org/fulmargap/admission/FairAdmission.java
@@ -214,8 +214,7 @@
 	}
 
 	// Before a new request starts, all queued requests of higher priorities and of its
-	// own account are served, and requests of the other accounts up to their weighted
-	// share.
+	// own account are served, and those of other accounts up to their weighted share.
 	private long expectedWaitMs(AdmissionRequest request) {
 		double aheadMs = cost(request);
 		for (Map.Entry<Priority, PriorityLevel> entry : this.levels.entrySet()) {
--- a/core/src/main/java/org/fulmargap/batch/PipelineAdmission.java
+++ b/core/src/main/java/org/fulmargap/batch/PipelineAdmission.java
@@ -27,8 +27,7 @@
 	 * @return the decision
 	 */
 	public static Decision decide(ExpectedTimes expected, long objectiveMs, long maxWaitMs) {
-		// Stages that exceed the objective without load lead to a refusal only under
-		// load.
+		// Stages that exceed the objective without load are refused only under load.
 		double limitMs = Math.max(objectiveMs - FIRST_EVENT_MS, expected.unloadedMs() + UNLOADED_SLACK_MS);
 		boolean inTime = expected.stagesMs() <= limitMs;
 		if (inTime && expected.stagesMs() + expected.promptMs() <= maxWaitMs) {
--- a/core/src/main/java/org/fulmargap/claim/ClaimLedger.java
+++ b/core/src/main/java/org/fulmargap/claim/ClaimLedger.java
@@ -148,8 +148,7 @@
 			return false;
 		}
 		if (this.gap && covered) {
-			// Removes claims whose release may be in the gap: they would block their
-			// keys.
+			// Removes claims whose release may be in the gap: they would block keys.
 			this.entries.values().forEach((entry) -> entry.removeBelow(this.coveredSince));
 			this.entries.values().removeIf(KeyEntry::isEmpty);
 		}
--- a/core/src/test/java/org/fulmargap/admission/FairAdmissionProperties.java
+++ b/core/src/test/java/org/fulmargap/admission/FairAdmissionProperties.java
@@ -16,7 +16,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Guards against unfair scheduling and idle slots, by comparison with a naive scheduler.
+ * Guards against unfair scheduling and idle slots, by comparison with a reference
+ * scheduler.
  */
 class FairAdmissionProperties {
 
@@ -79,8 +80,7 @@
 			for (int b = 0; b < WEIGHTS.length; b++) {
 				double difference = served.getOrDefault(a, 0L) / (double) WEIGHTS[a]
 						- served.getOrDefault(b, 0L) / (double) WEIGHTS[b];
-				// The difference is at most one quantum plus one request for each
-				// account.
+				// The difference is at most one quantum and one request per account.
 				assertThat(difference).isLessThanOrEqualTo(FairAdmission.QUANTUM_MS + 2 * maxCost);
 			}
 		}
--- a/core/src/test/java/org/fulmargap/batch/AdmittedWorkTests.java
+++ b/core/src/test/java/org/fulmargap/batch/AdmittedWorkTests.java
@@ -47,8 +47,7 @@
 		StageCapacity capacity = new StageCapacity(1, 2, 10, 200, 10, 1_000, 4_000);
 		double stagesMs = PipelineEstimate.stagesMs(List.of(new PipelineEstimate.StageLoad(capacity, 2, 100, 1),
 				new PipelineEstimate.StageLoad(capacity, 2, 40, 2)));
-		// 100 work items at 2 endpoints that each do 10 in 300 ms, and two calls of
-		// 250 ms.
+		// 100 work items at 2 endpoints, 10 in 300 ms each, and two calls of 250 ms.
 		assertThat(stagesMs).isEqualTo(1_500 + 500);
 	}
 
--- a/core/src/test/java/org/fulmargap/batch/PipelineLoadTests.java
+++ b/core/src/test/java/org/fulmargap/batch/PipelineLoadTests.java
@@ -57,8 +57,7 @@
 
 		@Test
 		void largeInputsMostlyStayInTheirFailureDomain() {
-			// If domains were ignored, 5 of 8 work items would read their inputs from
-			// another one.
+			// If domains were ignored, 5 of 8 work items would read remote inputs.
 			assertThat(run(AVERAGE).remoteShare()).isLessThan(0.1);
 		}
 
--- a/core/src/test/java/org/fulmargap/membership/MembershipViewTests.java
+++ b/core/src/test/java/org/fulmargap/membership/MembershipViewTests.java
@@ -15,7 +15,7 @@
 
 /**
  * Guards against the eviction of members that may be running, and against messages of an
- * earlier incarnation that replace the state of the present one.
+ * earlier incarnation that replace the state of the current one.
  */
 class MembershipViewTests {
 
--- a/core/src/test/java/org/fulmargap/routing/SlowStartProperties.java
+++ b/core/src/test/java/org/fulmargap/routing/SlowStartProperties.java
@@ -55,8 +55,7 @@
 		for (int step = 0; step < 400; step++) {
 			nowMs += 1 + random.nextInt(60);
 			if (random.nextInt(80) == 0) {
-				// All connections are lost, and every entry VM receives a report of the
-				// new process.
+				// All connections are lost, and each entry VM observes the new process.
 				held.forEach(Reservation::close);
 				held.clear();
 				incarnation++;
--- a/entry/src/main/java/org/fulmargap/entry/request/CallerTimes.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/CallerTimes.java
@@ -5,7 +5,7 @@
 
 /**
  * The longest time that callers of each route allow for a request. A caller that retries
- * after a refusal has less time left, so the difference tells how long ago it sent its
+ * after a refusal has less time left, so the difference shows how long ago it sent its
  * first attempt. The times of first attempts differ too, so only a clearly shorter time
  * counts as a retry. Confined to one thread.
  */
--- a/entry/src/main/java/org/fulmargap/entry/request/RefusalAnswer.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/RefusalAnswer.java
@@ -51,8 +51,7 @@
 		exchange.answer(refusal.status(), headers, body);
 	}
 
-	// The spread keeps callers that were refused at the same time from retrying all at
-	// once.
+	// The spread keeps callers that were refused together from retrying all at once.
 	private static String retryAfter(long retryAfterMs, long leftMs) {
 		double spread = 1 - RETRY_AFTER_SPREAD / 2 + RETRY_AFTER_SPREAD * ThreadLocalRandom.current().nextDouble();
 		double afterMs = Math.min(retryAfterMs, leftMs * MAX_RETRY_AFTER_SHARE) * spread;
--- a/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
+++ b/entry/src/main/java/org/fulmargap/entry/request/StageRun.java
@@ -160,9 +160,8 @@
 		}
 	}
 
-	// A result that is produced long before it is needed occupies result space meanwhile.
-	// A stage therefore waits while another unfinished stage has a longer chain of stages
-	// after it.
+	// A result produced long before it is needed occupies result space meanwhile, so a
+	// stage waits while another unfinished one has a longer chain of stages after it.
 	private boolean mustWait(int index) {
 		long ownStagesAfter = stagesAfter(index);
 		for (int i = 0; i < this.stages.size(); i++) {
--- a/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
+++ b/entry/src/main/java/org/fulmargap/entry/stage/StageCallDispatcher.java
@@ -174,8 +174,7 @@
 		}
 	}
 
-	// Space counts as free only after the endpoint has answered the call that released
-	// the results.
+	// Space counts as free only after the endpoint has answered the releasing call.
 	private void recordFreed(String address, List<String> handles) {
 		for (Endpoint endpoint : this.view.directory().all()) {
 			ServiceQueue queue = this.queues.get(endpoint.record().service());
