--- a/core/src/test/java/org/fulmargap/admission/FairAdmissionProperties.java
+++ b/core/src/test/java/org/fulmargap/admission/FairAdmissionProperties.java
@@ -80,7 +80,7 @@
 			for (int b = 0; b < WEIGHTS.length; b++) {
 				double difference = served.getOrDefault(a, 0L) / (double) WEIGHTS[a]
 						- served.getOrDefault(b, 0L) / (double) WEIGHTS[b];
-				// The difference is at most one quantum and one request per account.
+				// At most one quantum, and one request for each of the two accounts.
 				assertThat(difference).isLessThanOrEqualTo(FairAdmission.QUANTUM_MS + 2 * maxCost);
 			}
 		}
--- a/entry/src/test/java/org/fulmargap/entry/Installation.java
+++ b/entry/src/test/java/org/fulmargap/entry/Installation.java
@@ -64,7 +64,7 @@
 	}
 
 	/**
-	 * Starts an entry VM that reads a given store instead of the common one.
+	 * Starts an entry VM that uses a given store instead of the common one.
 	 */
 	EntryVm vm(String name, StoreStandIn ownStore) throws IOException, InterruptedException {
 		String ip = "127.0.0.1:";
