--- a/cli/src/main/java/org/fulmargap/cli/AdminAddress.java
+++ b/cli/src/main/java/org/fulmargap/cli/AdminAddress.java
@@ -3,7 +3,7 @@
 import okhttp3.HttpUrl;
 
 /**
- * Address of the operator interface of an entry VM.
+ * Address of the operator API of an entry VM.
  *
  * @param host the IP address
  * @param port the port
--- a/cli/src/main/java/org/fulmargap/cli/AdminClient.java
+++ b/cli/src/main/java/org/fulmargap/cli/AdminClient.java
@@ -21,7 +21,7 @@
 import okhttp3.Response;
 
 /**
- * Client of the operator interface of entry VMs.
+ * Client of the operator API of entry VMs.
  */
 final class AdminClient implements AutoCloseable {
 
--- a/cli/src/main/java/org/fulmargap/cli/EvictCommand.java
+++ b/cli/src/main/java/org/fulmargap/cli/EvictCommand.java
@@ -15,8 +15,8 @@
 
 	@Override
 	ExitCode run(AdminClient client) throws CommandException {
-		// The response to an eviction does not distinguish a name that is not a
-		// member from an eviction that was not recorded.
+		// The response to an eviction does not distinguish a name that is not a member
+		// from an eviction that was not recorded.
 		boolean joined = false;
 		for (JsonNode member : client.read("v1", "members").successBody().path("members")) {
 			joined |= member.path("vm").asText().equals(this.vm) && member.path("joined").asBoolean(true);
--- a/cli/src/main/java/org/fulmargap/cli/OrderCommand.java
+++ b/cli/src/main/java/org/fulmargap/cli/OrderCommand.java
@@ -20,7 +20,7 @@
 
 	/**
 	 * Returns the state that the command sets.
-	 * @return {@code OUT} or {@code IN}, as the operator interface names them
+	 * @return {@code OUT} or {@code IN}, as the operator API names them
 	 */
 	abstract String state();
 
--- a/cli/src/main/java/org/fulmargap/cli/TimelineEvent.java
+++ b/cli/src/main/java/org/fulmargap/cli/TimelineEvent.java
@@ -23,7 +23,7 @@
 		Map<String, String> fields) {
 
 	/**
-	 * Reads an event from a response of the operator interface.
+	 * Reads an event from a response of the operator API.
 	 * @param node the event as JSON
 	 * @return the event
 	 */
--- a/cli/src/main/java/org/fulmargap/cli/VersionsCommand.java
+++ b/cli/src/main/java/org/fulmargap/cli/VersionsCommand.java
@@ -26,7 +26,7 @@
 					// Keeps the newest report; an entry VM gives the time of its response
 					// as its own last_heard_at_ms.
 					latest.merge(member.path("vm").asText(), member,
-							(left, right) -> (receivedAtMs(right) > receivedAtMs(left)) ? right : left);
+							(left, right) -> (lastContactMs(right) > lastContactMs(left)) ? right : left);
 				}
 			}
 			catch (CommandException ex) {
@@ -39,11 +39,11 @@
 		}
 		latest.forEach((vm, member) -> out().println("vm=" + KeyValueLine.quote(vm) + " version="
 				+ member.path("config_version").asLong() + " alive=" + member.path("alive").asBoolean() + " joined="
-				+ member.path("joined").asBoolean() + " last_heard_at=" + Instant.ofEpochMilli(receivedAtMs(member))));
+				+ member.path("joined").asBoolean() + " last_heard_at=" + Instant.ofEpochMilli(lastContactMs(member))));
 		return ExitCode.DONE;
 	}
 
-	private static long receivedAtMs(JsonNode member) {
+	private static long lastContactMs(JsonNode member) {
 		return member.path("last_heard_at_ms").asLong();
 	}
 
--- a/server/src/main/java/org/fulmargap/ledger/ClaimService.java
+++ b/server/src/main/java/org/fulmargap/ledger/ClaimService.java
@@ -46,7 +46,7 @@
 		/**
 		 * The request is refused.
 		 *
-		 * @param failure the error to return to the client
+		 * @param failure the failure to report for the request
 		 */
 		record Refused(FulmargapException failure) implements Result {
 		}
@@ -70,7 +70,7 @@
 
 		/**
 		 * Records the outcome of the dispatched request.
-		 * @param outcome the response to the client
+		 * @param outcome the reply to the request
 		 */
 		void complete(RecordedOutcome outcome);
 
--- a/server/src/main/java/org/fulmargap/ledger/ClaimTable.java
+++ b/server/src/main/java/org/fulmargap/ledger/ClaimTable.java
@@ -28,7 +28,8 @@
 	/**
 	 * The maximum duration in milliseconds of the queries that ask the members about the
 	 * key of an abandoned attempt. A member that replied does not dispatch the key within
-	 * this time, so that "not run" is still true when the client receives it.
+	 * this time, so that "not run" is still true when the caller of the HTTP API receives
+	 * it.
 	 */
 	static final long RESOLVE_TIMEOUT_MS = 400;
 
--- a/server/src/main/java/org/fulmargap/ledger/ConfigTable.java
+++ b/server/src/main/java/org/fulmargap/ledger/ConfigTable.java
@@ -211,7 +211,7 @@
 		return this.lastRemovalAtMs;
 	}
 
-	synchronized void notePeerVersion(long version) {
+	synchronized void recordPeerVersion(long version) {
 		this.highestPeerVersion = Math.max(this.highestPeerVersion, version);
 	}
 
@@ -241,7 +241,7 @@
 			return Optional.of(new ConfigRecord.Abort(pending.patchId(), "time-out of the proposer"));
 		}
 		if (nowMs - this.pendingSinceMs > 2 * this.settings.patchTimeoutMs()) {
-			return Optional.of(new ConfigRecord.Abort(pending.patchId(), "the proposer is silent"));
+			return Optional.of(new ConfigRecord.Abort(pending.patchId(), "the proposer does not respond"));
 		}
 		return Optional.empty();
 	}
--- a/server/src/main/java/org/fulmargap/ledger/LogConfigService.java
+++ b/server/src/main/java/org/fulmargap/ledger/LogConfigService.java
@@ -224,8 +224,8 @@
 	 * configuration does not count as known.
 	 * @param version the version of the peer
 	 */
-	public void notePeerVersion(long version) {
-		this.table.notePeerVersion(version);
+	public void recordPeerVersion(long version) {
+		this.table.recordPeerVersion(version);
 	}
 
 	@Override
--- a/server/src/main/java/org/fulmargap/peer/PeerNetwork.java
+++ b/server/src/main/java/org/fulmargap/peer/PeerNetwork.java
@@ -57,12 +57,15 @@
 		/** The member had an attempt that was not dispatched, and has abandoned it. */
 		ABANDONED,
 
-		/** The member dispatched the request. */
+		/**
+		 * The member dispatched the request, or its ledger does not rule out that the
+		 * request ran.
+		 */
 		DISPATCHED;
 
 		/**
 		 * Returns whether the state rules out that this member ran the request.
-		 * @return {@code true} unless the request was dispatched
+		 * @return {@code true} unless the state is {@link #DISPATCHED}
 		 */
 		public boolean isNotRun() {
 			return this != DISPATCHED;
--- a/server/src/main/java/org/fulmargap/pipeline/StageRunner.java
+++ b/server/src/main/java/org/fulmargap/pipeline/StageRunner.java
@@ -135,9 +135,9 @@
 		private Deadline stageDeadline(long nowMs) {
 			long remainingMs = this.request.deadline().remainingMs(nowMs);
 			int remainingStages = this.request.pipeline().stages().size() - this.index;
-			// The expected durations are medians of past calls and may be too high
-			// after an incident. A minimum share of the time lets calls complete,
-			// which corrects the medians.
+			// The expected durations are medians of past calls and may be too high after
+			// an incident. A minimum share of the time lets calls complete, which
+			// corrects the medians.
 			long minimumMs = remainingMs / (2L * remainingStages);
 			return new Deadline(nowMs + Math.max(minimumMs, StageRunner.this.budgets.limitMs(this.request.pipeline(),
 					this.index, this.request.deadline(), nowMs)));
@@ -154,7 +154,7 @@
 				CrashQuarantine.Verdict verdict = StageRunner.this.monitor.verdict(this.request.fingerprint());
 				if (!verdict.mayRun()) {
 					throw new FulmargapException(FailureType.REQUEST_QUARANTINED, "REQUEST_QUARANTINED",
-							"this request crashed several endpoints and is refused for a while");
+							"this request crashed several endpoints and is refused until its quarantine expires");
 				}
 				boolean isolated = verdict == CrashQuarantine.Verdict.ISOLATED;
 				Set<String> suspected = isolated
@@ -234,9 +234,9 @@
 				StageRunner.this.log.failed(this.request, this.stage, id, reservation.endpoint(), ex);
 				String incarnation = StageRunner.this.monitor.incarnation(reservation.endpoint());
 				StageRunner.this.monitor.failed(reservation.endpoint(), this.request.fingerprint(), ex);
-				// If the request crashed this endpoint, the crash report must be
-				// stored before the retry. Otherwise the request could crash a third
-				// endpoint before it is quarantined.
+				// If the request crashed this endpoint, the crash report must be stored
+				// before the retry. Otherwise the request could crash a third endpoint
+				// before it is quarantined.
 				if (ex.failure() == CallFailure.CONNECTION_LOST
 						&& StageRunner.this.client.hasCrashed(reservation.spec().url(), incarnation)) {
 					StageRunner.this.monitor.connectionRefused(reservation.endpoint());
--- a/server/src/main/java/org/fulmargap/server/MaintenanceTasks.java
+++ b/server/src/main/java/org/fulmargap/server/MaintenanceTasks.java
@@ -99,7 +99,7 @@
 			this.timeline.record(EventType.PLATFORM_STATE, "", this.config.state().version(), "part", "log", "failing",
 					nowFailing);
 		}
-		this.config.notePeerVersion(this.membership.highestPeerVersion(nowMs));
+		this.config.recordPeerVersion(this.membership.highestPeerVersion(nowMs));
 		this.orders.retryAppends(nowMs);
 		if (nowFailing) {
 			fetchConfiguration();
@@ -131,7 +131,7 @@
 		for (String vm : this.membership.evictableMembers(reading.vms().keySet(), reading.readAtMs(), nowMs)) {
 			this.membership.incarnation(vm)
 				.ifPresent((incarnation) -> this.config.evict(vm, incarnation.toString(),
-						"absent from the VM list and silent"));
+						"absent from the VM list and unresponsive"));
 		}
 	}
 
--- a/server/src/test/java/org/fulmargap/http/package-info.java
+++ b/server/src/test/java/org/fulmargap/http/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Tests of the HTTP interfaces.
+ * Tests of the HTTP APIs.
  */
 package org.fulmargap.http;
--- a/server/src/test/java/org/fulmargap/ledger/LogConfigServiceTests.java
+++ b/server/src/test/java/org/fulmargap/ledger/LogConfigServiceTests.java
@@ -173,7 +173,7 @@
 			makeLogUnreachable();
 			sim().start("vm3");
 			config("vm3").installCopy(config("vm2").exportCopy().orElseThrow());
-			config("vm3").notePeerVersion(2);
+			config("vm3").recordPeerVersion(2);
 			assertThat(config("vm3").current().known()).isFalse();
 		}
 
--- a/server/src/test/java/org/fulmargap/ledger/PlatformServicesProperties.java
+++ b/server/src/test/java/org/fulmargap/ledger/PlatformServicesProperties.java
@@ -82,8 +82,7 @@
 		private void nextRequest() {
 			SimulatedVms.Vm vm = anyVm();
 			if (vm.isRunning()) {
-				// Keys change every two seconds, so that both new keys and retries
-				// occur.
+				// Keys change every two seconds, so that both new keys and retries occur.
 				ClaimKey key = new ClaimKey("account", "k" + this.sim.now() / 2_000 + "-" + this.random.nextInt(8));
 				Deadline deadline = Deadline.after(this.sim.now(), 300 + this.random.nextInt(2_500));
 				String digest = (this.random.nextInt(10) == 0) ? "other" : "digest";
