--- a/standin/src/main/java/org/fulmargap/standin/EndpointFaults.java
+++ b/standin/src/main/java/org/fulmargap/standin/EndpointFaults.java
@@ -54,7 +54,7 @@
 		truncateAnswer = (truncateAnswer != null) ? truncateAnswer : Truncation.NONE;
 		if (limit < -1 || delayMs < 0 || !(slowFactor > 0) || crashDownMs < 0) {
 			throw new IllegalArgumentException(
-					"limit and times must not be negative, and slow_factor must be positive");
+					"limit must be -1 or more, times must not be negative, and slow_factor must be positive");
 		}
 		if (failStatus != 0 && (failStatus < 400 || failStatus > 599)) {
 			throw new IllegalArgumentException("fail_status must be from 400 to 599: " + failStatus);
--- a/standin/src/main/java/org/fulmargap/standin/EndpointStandIn.java
+++ b/standin/src/main/java/org/fulmargap/standin/EndpointStandIn.java
@@ -21,9 +21,9 @@
 
 	private static final Set<String> KINDS = Set.of("encode", "retrieve", "rerank", "generate", "action");
 
-	private static final String STAGES = "/v1/stages/";
+	private static final String STAGES_PATH = "/v1/stages/";
 
-	private static final String ATTEMPTS = "/v1/attempts/";
+	private static final String ATTEMPTS_PATH = "/v1/attempts/";
 
 	private static final int CRASH_EXIT_CODE = 3;
 
@@ -115,13 +115,13 @@
 			exchange.respond(200,
 					(this.options.loadLagMs() > 0) ? this.previousLoad : this.scheduler.load(this.incarnation));
 		}
-		else if (path.startsWith(ATTEMPTS) && "DELETE".equals(exchange.method())) {
-			String attempt = URLDecoder.decode(path.substring(ATTEMPTS.length()), StandardCharsets.UTF_8);
+		else if (path.startsWith(ATTEMPTS_PATH) && "DELETE".equals(exchange.method())) {
+			String attempt = URLDecoder.decode(path.substring(ATTEMPTS_PATH.length()), StandardCharsets.UTF_8);
 			exchange.respond(200, Map.of("cancelled", this.scheduler.cancel(attempt)));
 		}
-		else if (path.startsWith(STAGES) && KINDS.contains(path.substring(STAGES.length()))
+		else if (path.startsWith(STAGES_PATH) && KINDS.contains(path.substring(STAGES_PATH.length()))
 				&& "POST".equals(exchange.method())) {
-			runStage(exchange, path.substring(STAGES.length()));
+			runStage(exchange, path.substring(STAGES_PATH.length()));
 		}
 		else {
 			StageResponse.refuse(exchange, 404, "NOT_FOUND", "no resource " + exchange.method() + " " + path);
--- a/standin/src/main/java/org/fulmargap/standin/PlatformStandIn.java
+++ b/standin/src/main/java/org/fulmargap/standin/PlatformStandIn.java
@@ -21,7 +21,7 @@
 
 	private static final String LOG_PATH = "/v1/log/";
 
-	private static final String RECORDS = "/records";
+	private static final String RECORDS_SUFFIX = "/records";
 
 	private final Options options;
 
@@ -96,9 +96,9 @@
 		else if (path.equals("/v1/vms")) {
 			exchange.respond(200, this.vms.read(System.currentTimeMillis()));
 		}
-		else if (path.startsWith(LOG_PATH) && path.endsWith(RECORDS)
-				&& path.length() > LOG_PATH.length() + RECORDS.length()) {
-			String stream = path.substring(LOG_PATH.length(), path.length() - RECORDS.length());
+		else if (path.startsWith(LOG_PATH) && path.endsWith(RECORDS_SUFFIX)
+				&& path.length() > LOG_PATH.length() + RECORDS_SUFFIX.length()) {
+			String stream = path.substring(LOG_PATH.length(), path.length() - RECORDS_SUFFIX.length());
 			if (current.slowMs() > 0) {
 				this.scheduler.schedule(() -> handleLogRequest(exchange, stream), current.slowMs(),
 						TimeUnit.MILLISECONDS);
--- a/standin/src/main/java/org/fulmargap/standin/RateLimit.java
+++ b/standin/src/main/java/org/fulmargap/standin/RateLimit.java
@@ -1,8 +1,8 @@
 package org.fulmargap.standin;
 
 /**
- * Token bucket that limits the rate of appends. It allows bursts of the appends of a
- * tenth of a second, and of at least one.
+ * Token bucket that limits the rate of appends. The bucket holds the tokens of a tenth of
+ * a second, and at least one.
  */
 final class RateLimit {
 
