--- a/proofs/src/test/java/org/fulmargap/proofs/EndpointFailureTests.java
+++ b/proofs/src/test/java/org/fulmargap/proofs/EndpointFailureTests.java
@@ -107,13 +107,13 @@
 			Answer last = null;
 			for (int round = 0; round < 3; round++) {
 				for (EntryVm vm : this.cluster.vms()) {
-					last = answer(this.cluster.request(vm, READ, null, CRASH_MARKER));
+					last = answer(this.cluster.request(vm, READ_PIPELINE, null, CRASH_MARKER));
 					assertThat(last.status()).isNotEqualTo(200);
 				}
 			}
 			assertThat(last.errorType()).isEqualTo("REQUEST_QUARANTINED");
 			assertThat(countCrashes("encoder")).isLessThanOrEqualTo(2);
-			Conditions.await("reads after the crashes", () -> read(this.first).status() == 200
+			Conditions.await("reads to be answered after the crashes", () -> read(this.first).status() == 200
 					&& read(this.second).status() == 200 && read(this.third).status() == 200);
 		}
 
--- a/proofs/src/test/java/org/fulmargap/proofs/EntryVmFailureTests.java
+++ b/proofs/src/test/java/org/fulmargap/proofs/EntryVmFailureTests.java
@@ -117,7 +117,7 @@
 			serviceFaults("labels", Map.of("hold", true));
 			List<CompletableFuture<Answer>> requests = new ArrayList<>();
 			for (int i = 0; i < 6; i++) {
-				requests.add(this.cluster.request(this.first, READ, null, "terminated " + i));
+				requests.add(this.cluster.request(this.first, READ_PIPELINE, null, "terminated " + i));
 			}
 			requests.add(action(this.first, "terminated"));
 			awaitExecution("terminated");
--- a/proofs/src/test/java/org/fulmargap/proofs/LogFailureTests.java
+++ b/proofs/src/test/java/org/fulmargap/proofs/LogFailureTests.java
@@ -43,7 +43,7 @@
 
 		/**
 		 * Guards against actions that run without a claim, and against an outage of the
-		 * log that stops reads.
+		 * log that stops idempotent requests.
 		 */
 		@Test
 		void refusesActionsAsNotRunAndServesReads() throws Exception {
@@ -94,7 +94,7 @@
 			this.cluster.platformFaults(Map.of("down", true));
 			this.first.kill();
 			this.first.start();
-			Conditions.await("readiness from peers",
+			Conditions.await("the restarted VM to be ready",
 					() -> this.cluster.get(this.first.adminUrl() + "/health/ready").path("ready").asBoolean());
 			assertThat(configVersion()).isEqualTo(configVersion);
 			assertReadsAreAnswered(this.first);
--- a/proofs/src/test/java/org/fulmargap/proofs/Proof.java
+++ b/proofs/src/test/java/org/fulmargap/proofs/Proof.java
@@ -38,9 +38,9 @@
 @Timeout(180)
 abstract class Proof {
 
-	static final String READ = "price-explanation";
+	static final String READ_PIPELINE = "price-explanation";
 
-	static final String ACTION = "label-push";
+	static final String ACTION_PIPELINE = "label-push";
 
 	/** Longer than the deadline of the pipelines plus the client's connection setup. */
 	private static final long ANSWER_TIMEOUT_SECONDS = 30;
@@ -87,7 +87,7 @@
 	}
 
 	CompletableFuture<Answer> action(EntryVm vm, String key) {
-		return this.cluster.request(vm, ACTION, key, "push " + key);
+		return this.cluster.request(vm, ACTION_PIPELINE, key, "push " + key);
 	}
 
 	static Answer answer(CompletableFuture<Answer> future) throws Exception {
@@ -119,7 +119,7 @@
 	 */
 	Answer read(EntryVm vm) throws Exception {
 		String input = "read " + this.readCount.incrementAndGet();
-		Answer answer = answer(this.cluster.request(vm, READ, null, input));
+		Answer answer = answer(this.cluster.request(vm, READ_PIPELINE, null, input));
 		if (answer.status() == 200) {
 			assertThat(StageOutput.belongsTo(answer.json().path("output").asText(), input))
 				.as("answer %s belongs to %s", answer.body(), input)
