--- a/bench/src/main/java/org/fulmargap/bench/EntryVm.java
+++ b/bench/src/main/java/org/fulmargap/bench/EntryVm.java
@@ -136,8 +136,8 @@
 		}
 
 		// Returns whether an execution of the current stage counts as an execution of the
-		// request. Of a non-idempotent request, only the action counts, because
-		// the stages before it have no external effects.
+		// request. Of a non-idempotent request, only the action counts, because the
+		// stages before it have no external effects.
 		boolean countsAsRun() {
 			return this.request.idempotent() || this.stage == this.pipeline.stages().size() - 1;
 		}
