--- a/server/src/main/java/org/fulmargap/ledger/ConfigTable.java
+++ b/server/src/main/java/org/fulmargap/ledger/ConfigTable.java
@@ -241,7 +241,7 @@
 			return Optional.of(new ConfigRecord.Abort(pending.patchId(), "time-out of the proposer"));
 		}
 		if (nowMs - this.pendingSinceMs > 2 * this.settings.patchTimeoutMs()) {
-			return Optional.of(new ConfigRecord.Abort(pending.patchId(), "the proposer does not respond"));
+			return Optional.of(new ConfigRecord.Abort(pending.patchId(), "the proposer is silent"));
 		}
 		return Optional.empty();
 	}
--- a/server/src/main/java/org/fulmargap/server/MaintenanceTasks.java
+++ b/server/src/main/java/org/fulmargap/server/MaintenanceTasks.java
@@ -131,7 +131,7 @@
 		for (String vm : this.membership.evictableMembers(reading.vms().keySet(), reading.readAtMs(), nowMs)) {
 			this.membership.incarnation(vm)
 				.ifPresent((incarnation) -> this.config.evict(vm, incarnation.toString(),
-						"absent from the VM list and unresponsive"));
+						"absent from the VM list and silent"));
 		}
 	}
 
